--- a/packages/decisions/anvilwell_decisions/batches/book.py
+++ b/packages/decisions/anvilwell_decisions/batches/batch_state.py
@@ -7,7 +7,7 @@
 from anvilwell_decisions.traffic import facts
 
 
-class State(enum.Enum):
+class ItemState(enum.Enum):
     """Where an item stands.
 
     The text of an ``UNSCORED`` item is whole; it is ``DONE`` and may be
@@ -19,13 +19,13 @@
     UNSCORED = "unscored"
     SCORING = "scoring"
     DONE = "done"
-    GIVEN_UP = "given-up"
+    ABANDONED = "given-up"
 
 
-_ENDED = frozenset((State.DONE, State.GIVEN_UP))
+_ENDED = frozenset((ItemState.DONE, ItemState.ABANDONED))
 
 
-class Book:
+class BatchState:
     """One batch's items.
 
     Results are listed by whole groups: a trainer can use nothing less,
@@ -52,7 +52,7 @@
             item_id: progresses.Progress(item_id)
             for item_id in self.items_by_id
         }
-        self._states_by_id = dict.fromkeys(self.items_by_id, State.WAITING)
+        self._states_by_id = dict.fromkeys(self.items_by_id, ItemState.WAITING)
         self._members_by_group = collections.defaultdict(list)
         for item in submission.items:
             self._members_by_group[item.group].append(item.item_id)
@@ -65,34 +65,36 @@
         return len(self.items_by_id)
 
     @property
-    def is_settled(self):
+    def needs_no_runs(self):
         """Whether nothing of the batch has to run any more."""
         return self.is_ended or not self._unlisted_groups
 
     def state(self, item_id):
-        """Return the item's `State`."""
+        """Return the item's `ItemState`."""
         return self._states_by_id[item_id]
 
-    def adopt(self, listed, saved=()):
+    def restore(self, listed, saved=()):
         """Take over what an earlier holder listed and saved."""
         for result in listed:
             self._note_listed(result)
-            self._states_by_id[result.item_id] = State.DONE
+            self._states_by_id[result.item_id] = ItemState.DONE
         for one in saved:
-            self._use(progresses.Progress.from_saved(one))
+            self._restore_progress(progresses.Progress.from_saved(one))
 
-    def _use(self, progress):
+    def _restore_progress(self, progress):
         """Use an earlier text of a waiting item if the bounds allow it."""
         state = self._states_by_id.get(progress.item_id)
-        if state is not State.WAITING or not progress.fits(
+        if state is not ItemState.WAITING or not progress.fits(
             self.submission.min_version, self._one_version
         ):
             return
         self.progress_by_id[progress.item_id] = progress
         if progress.is_complete:
-            self._states_by_id[progress.item_id] = self._completed(progress)
+            self._states_by_id[progress.item_id] = self._state_of_complete(
+                progress
+            )
 
-    def _completed(self, progress):
+    def _state_of_complete(self, progress):
         """Return the state of an item whose text is whole.
 
         A score that an earlier batch got counts only if that asked for
@@ -100,38 +102,38 @@
         """
         call = self.items_by_id[progress.item_id].scoring_call
         if call is None:
-            return State.DONE
+            return ItemState.DONE
         if progress.score and progress.score.call_id == call.call_id:
-            return State.DONE
+            return ItemState.DONE
         progress.score = None
-        return State.UNSCORED
+        return ItemState.UNSCORED
 
-    def waiting(self):
+    def waiting_ids(self):
         """Return the ids of the items that should run."""
         if self.is_ended:
             return []
         return [
             item_id
             for item_id, state in self._states_by_id.items()
-            if state is State.WAITING
+            if state is ItemState.WAITING
         ]
 
-    def started(self, item_id):
+    def mark_running(self, item_id):
         """Note that the item runs."""
-        self._states_by_id[item_id] = State.RUNNING
+        self._states_by_id[item_id] = ItemState.RUNNING
 
-    def stopped(self, item_id):
+    def mark_stopped(self, item_id):
         """Note that a run ended without a whole text."""
-        if self._states_by_id[item_id] is State.RUNNING:
-            self._states_by_id[item_id] = State.WAITING
+        if self._states_by_id[item_id] is ItemState.RUNNING:
+            self._states_by_id[item_id] = ItemState.WAITING
 
-    def done(self, item_id):
+    def mark_text_complete(self, item_id):
         """Note that the item's text is whole; it may lack its score."""
         progress = self.progress_by_id[item_id]
         progress.complete()
-        self._states_by_id[item_id] = self._completed(progress)
+        self._states_by_id[item_id] = self._state_of_complete(progress)
 
-    def unscored(self):
+    def unscored_ids(self):
         """Return the ids of items to be scored, almost whole groups first.
 
         A group is listed only once its last item is scored.
@@ -141,11 +143,11 @@
         found = [
             item_id
             for item_id, state in self._states_by_id.items()
-            if state is State.UNSCORED
+            if state is ItemState.UNSCORED
         ]
-        return sorted(found, key=self._lacking)
+        return sorted(found, key=self._unfinished_in_group)
 
-    def _lacking(self, item_id):
+    def _unfinished_in_group(self, item_id):
         """Return how many items of the item's group are not finished."""
         group = self.items_by_id[item_id].group
         return sum(
@@ -153,59 +155,59 @@
             for member in self._members_by_group[group]
         )
 
-    def scoring_started(self, item_id):
+    def mark_scoring(self, item_id):
         """Note that the item's scoring call is under way."""
-        self._states_by_id[item_id] = State.SCORING
+        self._states_by_id[item_id] = ItemState.SCORING
 
-    def scoring_stopped(self, item_id, failures=0, max_failures=0):
+    def mark_not_scored(self, item_id, failures=0, max_failures=0):
         """Note that a scoring call brought no score.
 
         ``failures`` of its attempts were failed by the scorer itself; the
         item is given up after ``max_failures`` of those. Refusals and lost
         answers say nothing about the item.
         """
-        if self._states_by_id[item_id] is not State.SCORING:
+        if self._states_by_id[item_id] is not ItemState.SCORING:
             return
         progress = self.progress_by_id[item_id]
         progress.scoring_failures += failures
         has_failed = failures and progress.scoring_failures >= max_failures
         self._states_by_id[item_id] = (
-            State.GIVEN_UP if has_failed else State.UNSCORED
+            ItemState.ABANDONED if has_failed else ItemState.UNSCORED
         )
 
-    def scored(self, item_id, seal):
+    def mark_scored(self, item_id, seal):
         """Note the seal of the scorer's answer; the item is done."""
-        if self._states_by_id[item_id] is not State.SCORING:
+        if self._states_by_id[item_id] is not ItemState.SCORING:
             return
         call = self.items_by_id[item_id].scoring_call
         score = progresses.Score(call.call_id, seal)
         self.progress_by_id[item_id].score = score
-        self._states_by_id[item_id] = State.DONE
+        self._states_by_id[item_id] = ItemState.DONE
 
-    def failed(self, item_id):
+    def count_failure(self, item_id):
         """Count a failed run; give the item up after too many."""
         progress = self.progress_by_id[item_id]
         progress.failures += 1
         if progress.failures >= self._max_failures:
-            self._states_by_id[item_id] = State.GIVEN_UP
+            self._states_by_id[item_id] = ItemState.ABANDONED
         else:
-            self.stopped(item_id)
+            self.mark_stopped(item_id)
 
-    def give_up(self, item_id):
+    def abandon(self, item_id):
         """Note that the item can't be done."""
-        self._states_by_id[item_id] = State.GIVEN_UP
+        self._states_by_id[item_id] = ItemState.ABANDONED
 
-    def give_up_rest(self):
+    def abandon_rest(self):
         """Give up all items that are neither done nor given up."""
         for item_id, state in self._states_by_id.items():
             if state not in _ENDED:
-                self._states_by_id[item_id] = State.GIVEN_UP
+                self._states_by_id[item_id] = ItemState.ABANDONED
 
-    def end(self):
+    def mark_ended(self):
         """Note that the trainer wants no more."""
         self.is_ended = True
 
-    def ready(self):
+    def listable_results(self):
         """Return the results of whole groups that are not listed yet."""
         if self.is_ended:
             return []
@@ -218,19 +220,19 @@
         ]
 
     @property
-    def has_wanted(self):
+    def has_enough_groups(self):
         """Whether as many groups are whole as the trainer waits for."""
         total = len(self._members_by_group)
         whole = sum(map(self._is_whole, self._unlisted_groups))
         listed = total - len(self._unlisted_groups)
         return listed + whole >= (self.submission.wanted_groups or total)
 
-    def list(self, results):
+    def mark_listed(self, results):
         """Note that `results` stand at the next positions for good."""
         for result in results:
             self._note_listed(result)
 
-    def unfinished(self):
+    def unlisted_progress(self):
         """Return the `Progress` of each unlisted item that has any."""
         return [
             progress
@@ -255,6 +257,6 @@
         )
 
     def _result(self, item_id):
-        if self._states_by_id[item_id] is State.DONE:
+        if self._states_by_id[item_id] is ItemState.DONE:
             return self.progress_by_id[item_id].result()
         return facts.Result(item_id, False)
--- a/packages/gateway/anvilwell_gateway/batches/committing.py
+++ b/packages/gateway/anvilwell_gateway/batches/committing.py
@@ -43,11 +43,13 @@
         while True:
             await held.has_ready.wait()
             held.has_ready.clear()
-            if not held.book.ready():
+            if not held.book.listable_results():
                 continue
             # What came during a long write has waited enough.
             await self._gather(GATHER_S - wrote_s)
-            results = sizes.fitting(held.book.ready(), records.MAX_VALUE_BYTES)
+            results = sizes.fitting(
+                held.book.listable_results(), records.MAX_VALUE_BYTES
+            )
             if not results:
                 continue
             began_at = loop.time()
@@ -71,7 +73,7 @@
         held = self._held
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, wait_s)):
-                while not held.book.has_wanted:
+                while not held.book.has_enough_groups:
                     await held.has_ready.wait()
                     held.has_ready.clear()
 
--- a/packages/gateway/anvilwell_gateway/batches/held.py
+++ b/packages/gateway/anvilwell_gateway/batches/held.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from anvilwell_decisions.batches import book as books
+from anvilwell_decisions.batches import batch_state as batch_states
 from anvilwell_decisions.batches import order
 from anvilwell_gateway import tasks
 
@@ -31,7 +31,7 @@
         submitted_at = give_up_at - route.max_queue_s
         self.late_at = order.late_at(submitted_at, route.due_s)
         self.opened_at = asyncio.get_running_loop().time()
-        self.book = books.Book(
+        self.book = batch_states.BatchState(
             submission, route.max_replicas, route.one_version
         )
         self.chunks = 0
@@ -69,7 +69,7 @@
 
     def list(self, results):
         """List results that are committed, and wake who waits."""
-        self.book.list(results)
+        self.book.mark_listed(results)
         self._is_known.set()
         self._wake()
 
@@ -109,7 +109,7 @@
         may_resume = self.route.is_resumable
         return [
             progress
-            for progress in self.book.unfinished()
+            for progress in self.book.unlisted_progress()
             if progress.is_complete
             or (may_resume and len(progress.events) >= least_events)
         ]
--- a/packages/gateway/anvilwell_gateway/batches/holder.py
+++ b/packages/gateway/anvilwell_gateway/batches/holder.py
@@ -72,9 +72,9 @@
     def beliefs(self):
         """Return how many batches and items this entry has."""
         held_now = self.held_by_id.values()
-        waiting = sum(len(held.book.waiting()) for held in held_now)
+        waiting = sum(len(held.book.waiting_ids()) for held in held_now)
         running = sum(len(held.runs_by_item) for held in held_now)
-        unscored = sum(len(held.book.unscored()) for held in held_now)
+        unscored = sum(len(held.book.unscored_ids()) for held in held_now)
         return [
             measures.Belief("batches", len(held_now)),
             measures.Belief("items_waiting", waiting),
@@ -141,7 +141,7 @@
         held = self.held_by_id.get(batch_id)
         if held is None or held.book.is_ended:
             return
-        held.book.end()
+        held.book.mark_ended()
         held.cancel_runs("the batch ended")
         self._keep_task(self._carry(held))
         _LOG.log(
@@ -212,7 +212,7 @@
     async def _save(self, held):
         await held.stop(_LEAVING)
         saved = [one.save() for one in held.texts()]
-        if held.book.is_settled or not saved:
+        if held.book.needs_no_runs or not saved:
             return
         try:
             await self._store.save(held.batch_id, saved)
@@ -227,7 +227,7 @@
 
     def _give_up(self, held):
         if self.held_by_id.get(held.batch_id) is held:
-            held.book.give_up_rest()
+            held.book.abandon_rest()
             held.cancel_runs("the batch's time is over")
             held.has_ready.set()
 
--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -237,7 +237,7 @@
         give_up_at = loop.time() + route.max_queue_s - age_s
         held = helds.Held(claimed, route, submission, give_up_at)
         results, held.chunks, saved = adopted
-        held.book.adopt(results, saved)
+        held.book.restore(results, saved)
         self._holder.open(held)
         if batch_id in self._news.ended:
             self._holder.end(batch_id)
--- a/packages/gateway/anvilwell_gateway/batches/retention.py
+++ b/packages/gateway/anvilwell_gateway/batches/retention.py
@@ -66,7 +66,7 @@
         old = [
             held
             for held in self._holder.held_by_id.values()
-            if held.book.is_settled and now - held.opened_at > _keep_s(held)
+            if held.book.needs_no_runs and now - held.opened_at > _keep_s(held)
         ]
         for held in old:
             owner = held.claimed.owner
--- a/packages/gateway/anvilwell_gateway/batches/saving.py
+++ b/packages/gateway/anvilwell_gateway/batches/saving.py
@@ -45,7 +45,7 @@
 
     @property
     def _is_settled(self):
-        return self._held.book.is_settled
+        return self._held.book.needs_no_runs
 
     async def _save(self):
         texts = self._held.texts(LEAST_EVENTS)
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -242,7 +242,7 @@
         book = held.book
         items = [
             book.items_by_id[item_id]
-            for item_id in book.waiting()
+            for item_id in book.waiting_ids()
             if not self._is_held_back(held, item_id)
         ]
         if not items:
@@ -298,7 +298,7 @@
             held.submission.host, held.submission.path
         )
         if route is None:
-            held.book.give_up_rest()
+            held.book.abandon_rest()
             held.has_ready.set()
             return None
         if not table.may_take(route, held.service):
@@ -311,7 +311,7 @@
         if replica_id is None:
             return False
         held = self._held_by_id[work.batch_id]
-        held.book.started(work.item_id)
+        held.book.mark_running(work.item_id)
         worker = self._dispatch.worker(replica_id)
         self._dispatch.placed(work, replica_id)
         progress = held.book.progress_by_id[work.item_id]
@@ -344,7 +344,7 @@
         if held.tasks_by_item.get(work.item_id) is task:
             del held.tasks_by_item[work.item_id]
             del held.runs_by_item[work.item_id]
-            held.book.stopped(work.item_id)
+            held.book.mark_stopped(work.item_id)
         error = None if task.cancelled() else task.exception()
         if error is not None:
             now = asyncio.get_running_loop().time()
@@ -405,15 +405,15 @@
         book = held.book
         if ended.end is runners.End.WHOLE:
             self._observe(held, work, now)
-            book.done(work.item_id)
+            book.mark_text_complete(work.item_id)
             held.has_ready.set()
             self._on_text()
             return
         counters.count_retry(_RETRIES_BY_END[ended.end], work.service)
         if ended.end is runners.End.FAILED:
-            book.failed(work.item_id)
+            book.count_failure(work.item_id)
         elif ended.end is runners.End.IMPOSSIBLE:
-            book.give_up(work.item_id)
+            book.abandon(work.item_id)
         elif ended.end is runners.End.REFUSED:
             worker.not_before = now + dispatches.REFUSED_PAUSE_S
         elif ended.end is runners.End.OTHER_REPLICA:
--- a/packages/gateway/anvilwell_gateway/batches/scorer.py
+++ b/packages/gateway/anvilwell_gateway/batches/scorer.py
@@ -61,7 +61,7 @@
         unscored = [
             (held, item_id)
             for held in self._held_by_id.values()
-            for item_id in held.book.unscored()
+            for item_id in held.book.unscored_ids()
         ]
         if not unscored:
             return
@@ -93,7 +93,7 @@
         pacer = self._pacer(route, slots_by_service)
         if not pacer.has_room(now):
             return False
-        held.book.scoring_started(item_id)
+        held.book.mark_scoring(item_id)
         pacer.running += 1
         task = asyncio.create_task(
             self._score(held, item_id, scoring_call, route, pacer)
@@ -124,7 +124,7 @@
         pacer.running -= 1
         if held.scorings_by_item.get(item_id) is task:
             del held.scorings_by_item[item_id]
-        held.book.scoring_stopped(item_id)
+        held.book.mark_not_scored(item_id)
         error = None if task.cancelled() else task.exception()
         if error is not None:
             self._pause(held, item_id)
@@ -150,10 +150,10 @@
         took_s = loop.time() - started_at
         if seal:
             pacer.answered(took_s)
-            held.book.scored(item_id, seal)
+            held.book.mark_scored(item_id, seal)
         else:
             most = max(route.max_replicas, held.route.max_replicas)
-            held.book.scoring_stopped(item_id, attempt.failures, most)
+            held.book.mark_not_scored(item_id, attempt.failures, most)
             self._pause(held, item_id)
         end = "scored" if seal else "failed"
         measures.record(measures.SCORINGS, took_s, end=end)
--- a/packages/gateway/tests/batches/test_committing.py
+++ b/packages/gateway/tests/batches/test_committing.py
@@ -3,7 +3,7 @@
 import asyncio
 import types
 
-from anvilwell_decisions.batches import book as books
+from anvilwell_decisions.batches import batch_state as batch_states
 from anvilwell_decisions.traffic import facts
 from anvilwell_gateway.batches import committing
 
@@ -27,7 +27,7 @@
     items = tuple(
         facts.Item(f"i{n}", "/", (), b"", f"g{n}") for n in range(GROUPS)
     )
-    book = books.Book(
+    book = batch_states.BatchState(
         facts.Submission("b", "h", "/", items, wanted_groups=WANTED), 1
     )
     store = _Store()
@@ -40,7 +40,7 @@
             chunks=0,
             has_ready=asyncio.Event(),
             begin_write=lambda: None,
-            list=book.list,
+            list=book.mark_listed,
         )
         committer = committing.Committer(store, held, None)
         task = asyncio.create_task(committer.run())
@@ -48,8 +48,8 @@
         for number, at in enumerate(whole_at):
             await asyncio.sleep(at - began_at)
             began_at = at
-            book.started(f"i{number}")
-            book.done(f"i{number}")
+            book.mark_running(f"i{number}")
+            book.mark_text_complete(f"i{number}")
             held.has_ready.set()
         await asyncio.sleep(2 * committing.GATHER_S)
         task.cancel()
--- a/packages/gateway/tests/batches/test_saving.py
+++ b/packages/gateway/tests/batches/test_saving.py
@@ -25,7 +25,7 @@
     text.events = ["a"] * saving.LEAST_EVENTS
     return types.SimpleNamespace(
         batch_id="b1",
-        book=types.SimpleNamespace(is_settled=False),
+        book=types.SimpleNamespace(needs_no_runs=False),
         texts=lambda least: [text],
         to_save=asyncio.Event(),
         is_unsaved=False,
