--- a/packages/decisions/anvilwell_decisions/batches/paces.py
+++ b/packages/decisions/anvilwell_decisions/batches/paces.py
@@ -5,7 +5,7 @@
 import statistics
 import typing
 
-from anvilwell_decisions.requests import observations
+from anvilwell_decisions.requests import server_loads
 
 # The pace now is the median of so many gaps between events. A pause of
 # all runs at once, as for new weights, is few gaps and does not count.
@@ -119,12 +119,12 @@
         self._spell = None
 
     def saw_load(self, load, now):
-        """Take in an `observations.Observation` of the replica itself.
+        """Take in an `server_loads.ServerLoad` of the replica itself.
 
         Contention only begins a spell before that shows: the runs' own
         events say whether it is one, and for how long.
         """
-        ratio = load.contention or observations.USUAL
+        ratio = load.contention or server_loads.NO_CONTENTION
         usual_s = self.usual(now)
         self._forget_spell(now)
         if usual_s and self._spell is None and ratio > SLOW_RATIO:
--- a/packages/decisions/anvilwell_decisions/requests/observations.py
+++ b/packages/decisions/anvilwell_decisions/requests/server_loads.py
@@ -3,14 +3,14 @@
 import typing
 
 # Other work on a replica's machine comes and goes many times a second.
-CONTENTION_BELIEVED_S = 0.3
+CONTENTION_TTL_S = 0.3
 # What runs and waits changes with each request.
-COUNTS_BELIEVED_S = 2.0
+COUNTS_TTL_S = 2.0
 # Work that takes as long as usual.
-USUAL = 1.0
+NO_CONTENTION = 1.0
 
 
-class Observation(typing.NamedTuple):
+class ServerLoad(typing.NamedTuple):
     """A replica's load, as an answer of its own told it.
 
     ``running`` and ``waiting`` count requests, its own callers' and all
@@ -30,14 +30,14 @@
         return self.running + self.waiting
 
 
-class _Heard(typing.NamedTuple):
+class _TimedLoad(typing.NamedTuple):
     """An observation and when it was heard, in seconds."""
 
-    observation: Observation
+    load: ServerLoad
     at: float
 
 
-class Observations:
+class ServerLoads:
     """The newest observation of each replica, and what of it still holds.
 
     Its age is that of the moment when the answer's head came, in seconds
@@ -46,27 +46,27 @@
     """
 
     def __init__(self):
-        self._heard_by_id = {}
+        self._loads_by_id = {}
 
-    def heard(self, replica_id, observation, now):
+    def record(self, replica_id, load, now):
         """Take in what a replica told just now."""
-        self._heard_by_id[replica_id] = _Heard(observation, now)
+        self._loads_by_id[replica_id] = _TimedLoad(load, now)
 
     def forget(self, replica_id):
         """Forget a replica that is gone."""
-        self._heard_by_id.pop(replica_id, None)
+        self._loads_by_id.pop(replica_id, None)
 
     def slots(self, replica_id):
         """Return how many requests a replica runs at once, 0 if unknown."""
-        heard = self._heard_by_id.get(replica_id)
-        return heard.observation.slots if heard else 0
+        timed = self._loads_by_id.get(replica_id)
+        return timed.load.slots if timed else 0
 
     def counts(self, replica_id, now):
         """Return the `Observation` if its counts are believed, or None."""
-        heard = self._heard_by_id.get(replica_id)
-        if heard is None or now - heard.at > COUNTS_BELIEVED_S:
+        timed = self._loads_by_id.get(replica_id)
+        if timed is None or now - timed.at > COUNTS_TTL_S:
             return None
-        return heard.observation
+        return timed.load
 
     def contention(self, replica_id, now):
         """Return how long work takes now against the usual time.
@@ -74,7 +74,7 @@
         `USUAL` if the replica does not tell, or told it too long ago. Work
         never counts as quicker than usual: the pace is learned, not told.
         """
-        heard = self._heard_by_id.get(replica_id)
-        if heard is None or now - heard.at > CONTENTION_BELIEVED_S:
-            return USUAL
-        return max(USUAL, heard.observation.contention or USUAL)
+        timed = self._loads_by_id.get(replica_id)
+        if timed is None or now - timed.at > CONTENTION_TTL_S:
+            return NO_CONTENTION
+        return max(NO_CONTENTION, timed.load.contention or NO_CONTENTION)
--- a/packages/decisions/tests/batches/test_paces.py
+++ b/packages/decisions/tests/batches/test_paces.py
@@ -1,7 +1,7 @@
 """A moment of contention is not a slow replica; seconds of it are one."""
 
 from anvilwell_decisions.batches import paces
-from anvilwell_decisions.requests import observations
+from anvilwell_decisions.requests import server_loads
 import pytest
 
 USUAL_S = 0.04
@@ -25,7 +25,7 @@
             self.pace.saw_gap(gap_s, self.now)
 
     def tells(self, contention):
-        told = observations.Observation(RUNS, 0, 8, contention)
+        told = server_loads.ServerLoad(RUNS, 0, 8, contention)
         self.pace.saw_load(told, self.now)
 
 
--- a/packages/decisions/tests/requests/test_expected.py
+++ b/packages/decisions/tests/requests/test_expected_latency.py
@@ -10,10 +10,10 @@
 import overload_world as worlds
 import pytest
 
-from anvilwell_decisions.requests import expected
+from anvilwell_decisions.requests import expected_latency
 from anvilwell_decisions.requests import facts
-from anvilwell_decisions.requests import paces
 from anvilwell_decisions.requests import routing
+from anvilwell_decisions.requests import service_times
 
 UNEVEN = worlds.Load(
     {}, entries=20, paces=(0.7, 0.7, 1.7), is_contended=True, seconds=8.0
@@ -41,14 +41,14 @@
 def test_calls_take_less_where_replicas_differ(share):
     standing_s = _mean_s(routing.LeastOutstanding, share)
 
-    assert _mean_s(expected.ExpectedWait, share) < standing_s
+    assert _mean_s(expected_latency.LeastExpectedLatency, share) < standing_s
 
 
 class Alone:
     """One entry that sends one call after another."""
 
     def __init__(self, works_by_id, contentions_by_id=None):
-        self.policy = expected.ExpectedWait(random.Random(1))
+        self.policy = expected_latency.LeastExpectedLatency(random.Random(1))
         self.works_by_id = works_by_id
         self._contentions_by_id = contentions_by_id or {}
         self.now = 0.0
@@ -78,10 +78,10 @@
     alone.works_by_id["r0"] = 10 * WORK_S
 
     slow = alone.send(40).count("r0")
-    assert slow <= paces.DEGRADED_ANSWERS
+    assert slow <= service_times.DEGRADED_ANSWERS
 
     alone.works_by_id["r0"] = WORK_S
-    alone.now += paces.DEGRADED_BELIEVED_S
+    alone.now += service_times.DEGRADED_TTL_S
     assert "r0" in alone.send(40)
 
 
@@ -106,7 +106,7 @@
 def test_where_no_contention_is_told_the_least_load_decides():
     policies = [
         routing.LeastOutstanding(random.Random(7)),
-        expected.ExpectedWait(random.Random(7)),
+        expected_latency.LeastExpectedLatency(random.Random(7)),
     ]
     rng = random.Random(3)
     for policy in policies:
--- a/packages/gateway/anvilwell_gateway/dialect.py
+++ b/packages/gateway/anvilwell_gateway/dialect.py
@@ -4,7 +4,7 @@
 import enum
 import typing
 
-from anvilwell_decisions.requests import observations
+from anvilwell_decisions.requests import server_loads
 
 
 class Call(typing.NamedTuple):
@@ -32,7 +32,7 @@
     seal: str
     not_run: bool
     version: int = 0
-    load: observations.Observation | None = None
+    load: server_loads.ServerLoad | None = None
     is_other: bool = False
 
     @property
--- a/packages/gateway/anvilwell_gateway/forwarding.py
+++ b/packages/gateway/anvilwell_gateway/forwarding.py
@@ -5,7 +5,7 @@
 import random
 
 from anvilwell_decisions.requests import ejection
-from anvilwell_decisions.requests import expected
+from anvilwell_decisions.requests import expected_latency
 from anvilwell_decisions.requests import facts as request_facts
 from anvilwell_decisions.requests import returning
 from anvilwell_gateway import attempts
@@ -174,7 +174,7 @@
         """Return the policy that chooses replicas of `service`."""
         known = self._policies_by_service.get(service)
         if known is None:
-            inner = expected.ExpectedWait(self._rng)
+            inner = expected_latency.LeastExpectedLatency(self._rng)
             known = ejection.OutlierEjection(self._rng, inner)
             self._policies_by_service[service] = known
             self._fill(service, known)
