--- a/packages/bench/anvilwell_bench/slopes/acts/claims.py
+++ b/packages/bench/anvilwell_bench/slopes/acts/claims.py
@@ -8,14 +8,14 @@
 
 SIZES = (100, 200, 400, 800)
 _CODEC = codec.Codec((records.Record,))
-_OUTCOME = records.Outcome(200, "application/json", b"x" * 256)
+_OUTCOME = records.RecordedOutcome(200, "application/json", b"x" * 256)
 
 
 class _Ledger:
     """Carries claims to their outcome with a store that answers."""
 
     def __init__(self):
-        self.book = claims.Book("entry-1/1")
+        self.tracker = claims.ClaimTracker("entry-1/1")
         self.writes = 0
         self.bytes = 0
 
@@ -26,7 +26,7 @@
     def settle(self, numbers):
         """Record that the requests of these keys ran."""
         ran = verdicts.Verdict.RAN
-        settle = self.book.settle
+        settle = self.tracker.settle
         self._carry(
             [a for n in numbers for a in settle(str(n), ran, _OUTCOME, 0.0)]
         )
@@ -34,8 +34,8 @@
     def _ask(self, number):
         key = records.store_key("stops-app", "parents", str(number))
         digest = f"{number:032x}"
-        question = claims.Question(str(number), key, digest, 1e9)
-        return self.book.ask(question, 0.0)
+        request = claims.ClaimRequest(str(number), key, digest, 1e9)
+        return self.tracker.claim(request, 0.0)
 
     def _carry(self, actions):
         waiting = list(actions)
@@ -46,8 +46,10 @@
                 self.bytes += sum(
                     len(_CODEC.encode(swap.record)) for swap in action.swaps
                 )
-                landed = claims.Landed(self.writes)
-                waiting.extend(self.book.written(action.write_id, landed, 0.0))
+                applied = claims.WriteApplied(self.writes)
+                waiting.extend(
+                    self.tracker.written(action.write_id, applied, 0.0)
+                )
 
 
 def _together(size):
--- a/packages/bench/anvilwell_bench/slopes/acts/requests.py
+++ b/packages/bench/anvilwell_bench/slopes/acts/requests.py
@@ -110,18 +110,18 @@
         numbers = itertools.count()
 
         def _claim():
-            book = claims.Book("entry/1")
+            tracker = claims.ClaimTracker("entry/1")
             actions = []
             for number in range(size):
-                question = claims.Question(
+                request = claims.ClaimRequest(
                     f"c{next(numbers)}", f"k{number}", "d", 9.0
                 )
-                actions += book.ask(question, 0.0)
+                actions += tracker.claim(request, 0.0)
             while actions:
                 action = actions.pop()
                 if isinstance(action, claims.Write):
-                    landed = claims.Landed(7)
-                    actions += book.written(action.write_id, landed, 0.0)
+                    applied = claims.WriteApplied(7)
+                    actions += tracker.written(action.write_id, applied, 0.0)
 
         return act.cpu_us(_claim, max(10, CALLS // size // 10))
 
--- a/packages/daemon/anvilwell_daemon/claims/service.py
+++ b/packages/daemon/anvilwell_daemon/claims/service.py
@@ -74,7 +74,7 @@
         self._retention_s = retention_s
         self._waiters_by_id = {}
         self._tasks = set()
-        self._book = None
+        self._tracker = None
         self._store = None
         self._dispatcher = None
         self._loop = None
@@ -86,7 +86,7 @@
         self._store = stores.ClaimStore(
             kernel.get("keyvalue"), self._clock, self._retention_s
         )
-        self._book = claims.Book(self._owner(kernel))
+        self._tracker = claims.ClaimTracker(self._owner(kernel))
         if kernel.has("membership"):
             membership = kernel.get("membership")
             membership.subscribe(self._follow)
@@ -98,7 +98,7 @@
     async def drain(self):
         """Wait a while for outcomes to be recorded."""
         until = self._now() + DRAIN_S
-        while not self._book.is_settled and self._now() < until:
+        while not self._tracker.is_settled and self._now() < until:
             await asyncio.sleep(TICK_S)
 
     async def stop(self):
@@ -165,7 +165,7 @@
     async def _claim(self, call):
         claim_id = uuid.uuid4().hex
         wait_s = min(call.deadline_s, CLAIM_WAIT_S)
-        question = claims.Question(
+        claim_request = claims.ClaimRequest(
             claim_id,
             records.store_key(call.service, call.team, call.key),
             records.request_digest(call.method, call.path, call.body),
@@ -173,7 +173,7 @@
         )
         waiter = self._loop.create_future()
         self._waiters_by_id[claim_id] = waiter
-        self._carry_out(self._book.ask(question, self._now()))
+        self._carry_out(self._tracker.claim(claim_request, self._now()))
         return await waiter
 
     def _settle_soon(self, claim_id, verdict, outcome):
@@ -183,7 +183,7 @@
 
     def _settle(self, claim_id, verdict, outcome):
         now = self._now()
-        self._carry_out(self._book.settle(claim_id, verdict, outcome, now))
+        self._carry_out(self._tracker.settle(claim_id, verdict, outcome, now))
 
     def _carry_out(self, actions):
         for action in actions:
@@ -199,15 +199,15 @@
 
     async def _write(self, write):
         result = await self._store.write(write.swaps)
-        if isinstance(result, claims.Lost):
+        if isinstance(result, claims.WriteUnknown):
             await asyncio.sleep(LOST_PAUSE_S)
         now = self._now()
-        self._carry_out(self._book.written(write.write_id, result, now))
+        self._carry_out(self._tracker.written(write.write_id, result, now))
 
     async def _tick(self):
         while True:
             await asyncio.sleep(TICK_S)
-            self._carry_out(self._book.expire(self._now()))
+            self._carry_out(self._tracker.expire(self._now()))
 
     def _owner(self, kernel):
         if kernel.has("membership"):
@@ -216,11 +216,11 @@
 
     def _follow(self, before, after):
         if before and before.incarnation != after.incarnation:
-            self._book.owner_gone(_owner_of(before))
+            self._tracker.owner_gone(_owner_of(before))
         if after.state is member_messages.State.DEAD:
-            self._book.owner_gone(_owner_of(after))
+            self._tracker.owner_gone(_owner_of(after))
         else:
-            self._book.owner_alive(_owner_of(after))
+            self._tracker.owner_alive(_owner_of(after))
 
     def _show_outcome(self, request, key):
         service = request.args.get("service", "")
--- a/packages/daemon/anvilwell_daemon/claims/store.py
+++ b/packages/daemon/anvilwell_daemon/claims/store.py
@@ -43,7 +43,7 @@
 
         Returns
         -------
-        claims.Landed, claims.Clashed or claims.Lost
+        claims.WriteApplied, claims.WriteConflict or claims.WriteUnknown
             ``Lost`` if the store did not answer.
         """
         try:
@@ -57,7 +57,7 @@
             # A lease that the store does not know fails every write.
             self._lease_until = 0.0
             _LOG.log("write-lost", swaps=len(swaps), cause=error.message)
-            return claims.Lost()
+            return claims.WriteUnknown()
 
     async def read(self, key):
         """Return the `records.Record` of a store key, or None.
@@ -90,10 +90,12 @@
 
 def _from_port(result):
     if result.landed:
-        return claims.Landed(result.revision)
-    return claims.Clashed(
+        return claims.WriteApplied(result.revision)
+    return claims.WriteConflict(
         {
-            key: records.Kept(_CODEC.decode(entry.value), entry.revision)
+            key: records.StoredRecord(
+                _CODEC.decode(entry.value), entry.revision
+            )
             for key, entry in result.entries_by_key.items()
             if entry is not None
         }
--- a/packages/decisions/anvilwell_decisions/requests/claims.py
+++ b/packages/decisions/anvilwell_decisions/requests/claims.py
@@ -15,10 +15,10 @@
 from anvilwell_kernel import verdict as verdicts
 
 MAX_SWAPS_PER_WRITE = 100
-_MAX_ABANDONED = 10000
+_MAX_VOID_CLAIMS = 10000
 
 
-class Question(typing.NamedTuple):
+class ClaimRequest(typing.NamedTuple):
     """A request that asks to be the one that runs for its key.
 
     ``forward_by`` is monotonic time in seconds, after which it must not
@@ -56,7 +56,7 @@
     """The key ran before; its caller gets the recorded outcome."""
 
     claim_id: str
-    outcome: records.Outcome
+    outcome: records.RecordedOutcome
 
 
 class Reject(typing.NamedTuple):
@@ -67,19 +67,19 @@
     verdict: verdicts.Verdict
 
 
-class Landed(typing.NamedTuple):
+class WriteApplied(typing.NamedTuple):
     """All swaps of a write landed at `revision`."""
 
     revision: int
 
 
-class Clashed(typing.NamedTuple):
+class WriteConflict(typing.NamedTuple):
     """None landed; what is kept for the keys, absent ones left out."""
 
-    kept_by_key: dict
+    stored_by_key: dict
 
 
-class Lost(typing.NamedTuple):
+class WriteUnknown(typing.NamedTuple):
     """No answer: the write may have landed, or may land later."""
 
 
@@ -90,12 +90,12 @@
     record: records.Record | None
 
 
-class _Held(typing.NamedTuple):
-    question: Question
+class _HeldClaim(typing.NamedTuple):
+    request: ClaimRequest
     revision: int
 
 
-class Book:
+class ClaimTracker:
     """The claims of one entry.
 
     Parameters
@@ -106,15 +106,15 @@
 
     def __init__(self, owner):
         self._owner = owner
-        self._numbers = itertools.count(1)
-        self._asked_by_key = {}
+        self._write_ids = itertools.count(1)
+        self._pending_by_key = {}
         self._held_by_id = {}
         self._held_by_key = {}
         self._settling_by_key = {}
         self._writing = None
-        self._written_once = set()
-        self._doubtful_by_key = {}
-        self._abandoned = {}
+        self._maybe_written_ids = set()
+        self._uncertain_by_key = {}
+        self._void_keys_by_claim_id = {}
         self._alive_owners = {owner}
 
     @property
@@ -131,15 +131,15 @@
         if owner != self._owner:
             self._alive_owners.discard(owner)
 
-    def ask(self, question, now):
+    def claim(self, request, now):
         """Take a `Question`; return actions."""
-        if question.key in self._held_by_key:
-            held = self._held_by_key[question.key]
-            return [self._in_progress(question, held.question.digest)]
-        if question.key in self._asked_by_key:
-            asked = self._asked_by_key[question.key]
-            return [self._in_progress(question, asked.digest)]
-        self._asked_by_key[question.key] = question
+        if request.key in self._held_by_key:
+            held = self._held_by_key[request.key]
+            return [self._reject_duplicate(request, held.request.digest)]
+        if request.key in self._pending_by_key:
+            pending = self._pending_by_key[request.key]
+            return [self._reject_duplicate(request, pending.digest)]
+        self._pending_by_key[request.key] = request
         return self.flush(now)
 
     def settle(self, claim_id, verdict, outcome, now):
@@ -150,13 +150,13 @@
         held = self._held_by_id.pop(claim_id, None)
         if held is None:
             return []
-        question, revision = held
-        del self._held_by_key[question.key]
+        request, revision = held
+        del self._held_by_key[request.key]
         if verdict is verdicts.Verdict.NOT_RUN:
-            self._never_forward(question)
-        record = _settled(self._claim(question), verdict, outcome)
-        self._settling_by_key[question.key] = _Settlement(
-            question.key, claim_id, revision, record
+            self._mark_void(request)
+        record = _settled_record(self._claim_record(request), verdict, outcome)
+        self._settling_by_key[request.key] = _Settlement(
+            request.key, claim_id, revision, record
         )
         return self.flush(now)
 
@@ -168,8 +168,8 @@
         swaps = tuple(itertools.islice(self._swaps(), MAX_SWAPS_PER_WRITE))
         if not swaps:
             return rejected
-        self._writing = Write(next(self._numbers), swaps)
-        self._written_once.update(
+        self._writing = Write(next(self._write_ids), swaps)
+        self._maybe_written_ids.update(
             swap.record.claim_id for swap in swaps if swap.expected == 0
         )
         return [*rejected, self._writing]
@@ -177,19 +177,19 @@
     def expire(self, now):
         """Give up claims that came too late to be forwarded."""
         late = [
-            question
-            for question in self._asked_by_key.values()
-            if question.forward_by <= now
+            request
+            for request in self._pending_by_key.values()
+            if request.forward_by <= now
         ]
-        for question in late:
-            self._abandon(question)
+        for request in late:
+            self._abandon(request)
         return [
             Reject(
-                question.claim_id,
+                request.claim_id,
                 reasons.Refusal.KEY_VALUE_UNAVAILABLE,
                 verdicts.Verdict.NOT_RUN,
             )
-            for question in late
+            for request in late
         ]
 
     def written(self, write_id, result, now):
@@ -199,139 +199,144 @@
         swaps = self._writing.swaps
         self._writing = None
         actions = []
-        if isinstance(result, Landed):
+        if isinstance(result, WriteApplied):
             for swap in swaps:
-                kept = records.Kept(swap.record, result.revision)
-                actions.extend(self._resolve(swap.key, kept, now))
-        elif isinstance(result, Clashed):
-            for key, kept in result.kept_by_key.items():
-                actions.extend(self._resolve(key, kept, now))
-            self._forget_deleted(swaps, result.kept_by_key)
+                stored = records.StoredRecord(swap.record, result.revision)
+                actions.extend(self._resolve(swap.key, stored, now))
+        elif isinstance(result, WriteConflict):
+            for key, stored in result.stored_by_key.items():
+                actions.extend(self._resolve(key, stored, now))
+            self._drop_deleted(swaps, result.stored_by_key)
         return [*actions, *self.flush(now)]
 
     def _swaps(self):
         for settlement in self._settling_by_key.values():
             yield Swap(settlement.key, settlement.expected, settlement.record)
-        for question in self._doubtful_by_key.values():
-            if question.key not in self._settling_by_key:
-                yield Swap(question.key, 0, self._claim(question))
-        for question in self._asked_by_key.values():
-            if not self._is_being_freed(question.key):
-                yield Swap(question.key, 0, self._claim(question))
+        for request in self._uncertain_by_key.values():
+            if request.key not in self._settling_by_key:
+                yield Swap(request.key, 0, self._claim_record(request))
+        for request in self._pending_by_key.values():
+            if not self._is_being_freed(request.key):
+                yield Swap(request.key, 0, self._claim_record(request))
 
     def _is_being_freed(self, key):
-        return key in self._settling_by_key or key in self._doubtful_by_key
+        return key in self._settling_by_key or key in self._uncertain_by_key
 
-    def _claim(self, question):
-        return records.Record(question.claim_id, self._owner, question.digest)
+    def _claim_record(self, request):
+        return records.Record(request.claim_id, self._owner, request.digest)
 
-    def _resolve(self, key, kept, now):
+    def _resolve(self, key, stored, now):
         """Apply what is now kept for one key of the last write."""
         settlement = self._settling_by_key.get(key)
         if settlement:
-            self._resolve_settlement(settlement, kept)
+            self._resolve_settlement(settlement, stored)
             return []
-        self._doubtful_by_key.pop(key, None)
-        question = self._asked_by_key.get(key)
-        if self._free_abandoned(key, kept) or question is None:
+        self._uncertain_by_key.pop(key, None)
+        request = self._pending_by_key.get(key)
+        if self._delete_if_void(key, stored) or request is None:
             return []
-        return self._resolve_question(question, kept, now)
+        return self._resolve_request(request, stored, now)
 
-    def _resolve_settlement(self, settlement, kept):
+    def _resolve_settlement(self, settlement, stored):
         is_done = (
-            kept.record == settlement.record
-            or kept.record is None
-            or kept.revision != settlement.expected
+            stored.record == settlement.record
+            or stored.record is None
+            or stored.revision != settlement.expected
         )
         if is_done:
             del self._settling_by_key[settlement.key]
 
-    def _resolve_question(self, question, kept, now):
-        record = kept.record
-        del self._asked_by_key[question.key]
-        if record.claim_id == question.claim_id:
-            return self._own(question, kept.revision, now)
-        return [self._of_other(question, record)]
+    def _resolve_request(self, request, stored, now):
+        record = stored.record
+        del self._pending_by_key[request.key]
+        if record.claim_id == request.claim_id:
+            return self._hold_claim(request, stored.revision, now)
+        return [self._reject_or_replay(request, record)]
 
-    def _own(self, question, revision, now):
+    def _hold_claim(self, request, revision, now):
         """Hold a claim that is certainly recorded."""
-        held = _Held(question, revision)
-        self._held_by_id[question.claim_id] = held
-        self._held_by_key[question.key] = held
-        self._written_once.discard(question.claim_id)
-        if now < question.forward_by:
-            return [Forward(question.claim_id)]
+        held = _HeldClaim(request, revision)
+        self._held_by_id[request.claim_id] = held
+        self._held_by_key[request.key] = held
+        self._maybe_written_ids.discard(request.claim_id)
+        if now < request.forward_by:
+            return [Forward(request.claim_id)]
         reject = Reject(
-            question.claim_id,
+            request.claim_id,
             reasons.Refusal.DEADLINE,
             verdicts.Verdict.NOT_RUN,
         )
         not_run = verdicts.Verdict.NOT_RUN
-        settled = self.settle(question.claim_id, not_run, None, now)
+        settled = self.settle(request.claim_id, not_run, None, now)
         return [reject, *settled]
 
-    def _of_other(self, question, record):
+    def _reject_or_replay(self, request, record):
         """Answer a question whose key another request has claimed."""
-        self._written_once.discard(question.claim_id)
-        if record.digest != question.digest:
+        self._maybe_written_ids.discard(request.claim_id)
+        if record.digest != request.digest:
             return Reject(
-                question.claim_id,
+                request.claim_id,
                 reasons.Refusal.CONFLICT,
                 verdicts.Verdict.NOT_RUN,
             )
         if record.state is records.State.RAN:
-            return Replay(question.claim_id, record.outcome)
+            return Replay(request.claim_id, record.outcome)
         return Reject(
-            question.claim_id,
+            request.claim_id,
             progress_reason(record, self._alive_owners),
             verdicts.Verdict.MAY_HAVE_RUN,
         )
 
-    def _in_progress(self, question, digest):
-        if digest != question.digest:
+    def _reject_duplicate(self, request, digest):
+        if digest != request.digest:
             return Reject(
-                question.claim_id,
+                request.claim_id,
                 reasons.Refusal.CONFLICT,
                 verdicts.Verdict.NOT_RUN,
             )
         return Reject(
-            question.claim_id,
+            request.claim_id,
             reasons.Refusal.KEY_IN_PROGRESS,
             verdicts.Verdict.MAY_HAVE_RUN,
         )
 
-    def _abandon(self, question):
+    def _abandon(self, request):
         """Give up a claim, and free its key should it have landed.
 
         A claim that was written, perhaps, is written again until the
         store says that it is there, so that it can be deleted.
         """
-        del self._asked_by_key[question.key]
-        if question.claim_id in self._written_once:
-            self._written_once.discard(question.claim_id)
-            self._doubtful_by_key[question.key] = question
-            self._never_forward(question)
+        del self._pending_by_key[request.key]
+        if request.claim_id in self._maybe_written_ids:
+            self._maybe_written_ids.discard(request.claim_id)
+            self._uncertain_by_key[request.key] = request
+            self._mark_void(request)
 
-    def _never_forward(self, question):
+    def _mark_void(self, request):
         """Remember that a claim is void, also if it lands late."""
-        self._abandoned[question.claim_id] = question.key
-        while len(self._abandoned) > _MAX_ABANDONED:
-            del self._abandoned[next(iter(self._abandoned))]
+        self._void_keys_by_claim_id[request.claim_id] = request.key
+        while len(self._void_keys_by_claim_id) > _MAX_VOID_CLAIMS:
+            del self._void_keys_by_claim_id[
+                next(iter(self._void_keys_by_claim_id))
+            ]
 
-    def _free_abandoned(self, key, kept):
+    def _delete_if_void(self, key, stored):
         """Delete a record that is void; return whether it is."""
-        record = kept.record
-        if record is None or record.claim_id not in self._abandoned:
+        record = stored.record
+        if (
+            record is None
+            or record.claim_id not in self._void_keys_by_claim_id
+        ):
             return False
         self._settling_by_key[key] = _Settlement(
-            key, record.claim_id, kept.revision, None
+            key, record.claim_id, stored.revision, None
         )
         return True
 
-    def _forget_deleted(self, swaps, kept_by_key):
+    def _drop_deleted(self, swaps, stored_by_key):
         """Drop settlements whose records are no longer there."""
         for swap in swaps:
-            if swap.expected and swap.key not in kept_by_key:
+            if swap.expected and swap.key not in stored_by_key:
                 self._settling_by_key.pop(swap.key, None)
 
 
@@ -343,7 +348,7 @@
     return reasons.Refusal.OUTCOME_UNKNOWN
 
 
-def _settled(record, verdict, outcome):
+def _settled_record(record, verdict, outcome):
     if verdict is verdicts.Verdict.NOT_RUN:
         return None
     if verdict is verdicts.Verdict.RAN and outcome is not None:
--- a/packages/decisions/anvilwell_decisions/requests/records.py
+++ b/packages/decisions/anvilwell_decisions/requests/records.py
@@ -18,7 +18,7 @@
     RAN = "ran"
 
 
-class Outcome(typing.NamedTuple):
+class RecordedOutcome(typing.NamedTuple):
     """A whole answer; ``body`` is empty if it was too large to keep."""
 
     status: int
@@ -39,10 +39,10 @@
     owner: str
     digest: str
     state: State = State.CLAIMED
-    outcome: Outcome | None = None
+    outcome: RecordedOutcome | None = None
 
 
-class Kept(typing.NamedTuple):
+class StoredRecord(typing.NamedTuple):
     """A record as it is kept, with its revision."""
 
     record: Record
@@ -71,5 +71,5 @@
 def bounded_outcome(status, content_type, body):
     """Return the `Outcome`, without its body if that is too large."""
     if len(body) <= MAX_BODY_BYTES:
-        return Outcome(status, content_type, body)
-    return Outcome(status, content_type, b"", False)
+        return RecordedOutcome(status, content_type, body)
+    return RecordedOutcome(status, content_type, b"", False)
--- a/packages/decisions/tests/requests/test_claims.py
+++ b/packages/decisions/tests/requests/test_claims.py
@@ -21,33 +21,33 @@
     """A linearizable store; what lands late lands as a swap."""
 
     def __init__(self):
-        self.kept_by_key = {}
+        self.stored_by_key = {}
         self.revision = 0
 
     def apply(self, swaps):
         clash = any(self._revision(s.key) != s.expected for s in swaps)
         if clash:
-            kept = {
-                s.key: self.kept_by_key[s.key]
+            stored = {
+                s.key: self.stored_by_key[s.key]
                 for s in swaps
-                if s.key in self.kept_by_key
+                if s.key in self.stored_by_key
             }
-            return claims.Clashed(kept)
+            return claims.WriteConflict(stored)
         self.revision += 1
         for swap in swaps:
             self._put(swap)
-        return claims.Landed(self.revision)
+        return claims.WriteApplied(self.revision)
 
     def _put(self, swap):
         if swap.record is None:
-            self.kept_by_key.pop(swap.key, None)
+            self.stored_by_key.pop(swap.key, None)
         else:
-            kept = records.Kept(swap.record, self.revision)
-            self.kept_by_key[swap.key] = kept
+            stored = records.StoredRecord(swap.record, self.revision)
+            self.stored_by_key[swap.key] = stored
 
     def _revision(self, key):
-        kept = self.kept_by_key.get(key)
-        return kept.revision if kept else 0
+        stored = self.stored_by_key.get(key)
+        return stored.revision if stored else 0
 
 
 class Request:
@@ -68,7 +68,7 @@
         self.now = 0.0
         self.store = Store()
         self.incarnations = dict.fromkeys(ENTRIES, 0)
-        self.books = {}
+        self.trackers = {}
         for entry in ENTRIES:
             self._boot(entry)
         self.requests = {}
@@ -80,10 +80,10 @@
     def _boot(self, entry):
         self.incarnations[entry] += 1
         owner = f"{entry}/{self.incarnations[entry]}"
-        self.books[entry] = claims.Book(owner)
-        for book in self.books.values():
-            book.owner_gone(f"{entry}/{self.incarnations[entry] - 1}")
-            book.owner_alive(owner)
+        self.trackers[entry] = claims.ClaimTracker(owner)
+        for tracker in self.trackers.values():
+            tracker.owner_gone(f"{entry}/{self.incarnations[entry] - 1}")
+            tracker.owner_alive(owner)
 
     def _do(self, entry, actions):
         for action in actions:
@@ -96,10 +96,10 @@
             else:
                 self.requests[action.claim_id].answers.append(action)
 
-    def _to_book(self, stamp, write_id, result):
+    def _to_tracker(self, stamp, write_id, result):
         entry, incarnation = stamp
         if self.incarnations[entry] == incarnation:
-            actions = self.books[entry].written(write_id, result, self.now)
+            actions = self.trackers[entry].written(write_id, result, self.now)
             self._do(entry, actions)
 
     @stateful.rule(
@@ -111,8 +111,10 @@
     def ask(self, entry, key, digest, patience):
         claim_id = f"c{next(self.numbers)}"
         self.requests[claim_id] = Request(key, digest)
-        question = claims.Question(claim_id, key, digest, self.now + patience)
-        self._do(entry, self.books[entry].ask(question, self.now))
+        request = claims.ClaimRequest(
+            claim_id, key, digest, self.now + patience
+        )
+        self._do(entry, self.trackers[entry].claim(request, self.now))
 
     @stateful.precondition(lambda self: self.in_flight)
     @stateful.rule(
@@ -122,14 +124,14 @@
     def write(self, data, fate):
         number = data.draw(st.integers(0, len(self.in_flight) - 1))
         stamp, write = self.in_flight.pop(number)
-        result = claims.Lost()
+        result = claims.WriteUnknown()
         if fate in ("ok", "answer lost"):
             result = self.store.apply(write.swaps)
         if fate == "delayed":
             self.delayed.append(write)
         if fate != "ok":
-            result = claims.Lost()
-        self._to_book(stamp, write.write_id, result)
+            result = claims.WriteUnknown()
+        self._to_tracker(stamp, write.write_id, result)
 
     @stateful.precondition(lambda self: self.delayed)
     @stateful.rule(data=st.data())
@@ -152,8 +154,8 @@
             self.requests[claim_id].executions += 1
         if self.incarnations[entry] != incarnation:
             return
-        outcome = records.Outcome(200, "", claim_id.encode())
-        actions = self.books[entry].settle(
+        outcome = records.RecordedOutcome(200, "", claim_id.encode())
+        actions = self.trackers[entry].settle(
             claim_id, verdict, outcome, self.now
         )
         self._do(entry, actions)
@@ -166,8 +168,10 @@
     @stateful.rule(seconds=st.sampled_from((0.5, 2.0, 10.0)))
     def wait(self, seconds):
         self.now += seconds
-        for entry, book in self.books.items():
-            self._do(entry, [*book.expire(self.now), *book.flush(self.now)])
+        for entry, tracker in self.trackers.items():
+            self._do(
+                entry, [*tracker.expire(self.now), *tracker.flush(self.now)]
+            )
 
     @stateful.invariant()
     def at_most_one_execution_for_a_key(self):
@@ -205,63 +209,63 @@
 TestAtMostOnce = AtMostOnce.TestCase
 
 
-def _ask(book, claim_id, key="k", digest="d", now=0.0, forward_by=5.0):
-    question = claims.Question(claim_id, key, digest, forward_by)
-    return book.ask(question, now)
+def _ask(tracker, claim_id, key="k", digest="d", now=0.0, forward_by=5.0):
+    request = claims.ClaimRequest(claim_id, key, digest, forward_by)
+    return tracker.claim(request, now)
 
 
-def _forwarded(book, store, claim_id, **question):
-    (write,) = _ask(book, claim_id, **question)
+def _forwarded(tracker, store, claim_id, **request):
+    (write,) = _ask(tracker, claim_id, **request)
     result = store.apply(write.swaps)
-    return book.written(write.write_id, result, 0.0)
+    return tracker.written(write.write_id, result, 0.0)
 
 
 def test_a_recorded_claim_is_forwarded():
-    book, store = claims.Book("a/1"), Store()
-    assert _forwarded(book, store, "c1") == [claims.Forward("c1")]
+    tracker, store = claims.ClaimTracker("a/1"), Store()
+    assert _forwarded(tracker, store, "c1") == [claims.Forward("c1")]
 
 
 def test_a_lost_write_that_landed_is_known_again_as_ours():
-    book, store = claims.Book("a/1"), Store()
-    (write,) = _ask(book, "c1")
+    tracker, store = claims.ClaimTracker("a/1"), Store()
+    (write,) = _ask(tracker, "c1")
     store.apply(write.swaps)
-    (again,) = book.written(write.write_id, claims.Lost(), 1.0)
+    (again,) = tracker.written(write.write_id, claims.WriteUnknown(), 1.0)
     result = store.apply(again.swaps)
-    actions = book.written(again.write_id, result, 1.0)
+    actions = tracker.written(again.write_id, result, 1.0)
     assert actions == [claims.Forward("c1")]
 
 
 def test_a_claim_given_up_in_an_outage_frees_its_key_afterwards():
-    book, store = claims.Book("a/1"), Store()
-    (write,) = _ask(book, "c1")
+    tracker, store = claims.ClaimTracker("a/1"), Store()
+    (write,) = _ask(tracker, "c1")
     store.apply(write.swaps)
-    reject, again = book.written(write.write_id, claims.Lost(), 6.0)
+    reject, again = tracker.written(write.write_id, claims.WriteUnknown(), 6.0)
     assert (reject.verdict, reject.reason) == (
         NOT_RUN,
         reasons.Refusal.KEY_VALUE_UNAVAILABLE,
     )
     result = store.apply(again.swaps)
-    (delete,) = book.written(again.write_id, result, 6.0)
-    assert isinstance(store.apply(delete.swaps), claims.Landed)
-    other = claims.Book("b/1")
+    (delete,) = tracker.written(again.write_id, result, 6.0)
+    assert isinstance(store.apply(delete.swaps), claims.WriteApplied)
+    other = claims.ClaimTracker("b/1")
     assert _forwarded(other, store, "c2") == [claims.Forward("c2")]
 
 
 def test_a_repeat_elsewhere_gets_the_recorded_outcome():
-    book, store = claims.Book("a/1"), Store()
-    _forwarded(book, store, "c1")
-    outcome = records.Outcome(201, "text/plain", b"sent")
-    (write,) = book.settle("c1", verdicts.Verdict.RAN, outcome, 1.0)
-    book.written(write.write_id, store.apply(write.swaps), 1.0)
-    other = claims.Book("b/1")
+    tracker, store = claims.ClaimTracker("a/1"), Store()
+    _forwarded(tracker, store, "c1")
+    outcome = records.RecordedOutcome(201, "text/plain", b"sent")
+    (write,) = tracker.settle("c1", verdicts.Verdict.RAN, outcome, 1.0)
+    tracker.written(write.write_id, store.apply(write.swaps), 1.0)
+    other = claims.ClaimTracker("b/1")
     actions = _forwarded(other, store, "c2")
     assert actions == [claims.Replay("c2", outcome)]
 
 
 def test_a_repeat_after_a_crash_is_told_that_it_may_have_run():
     store = Store()
-    _forwarded(claims.Book("a/1"), store, "c1")
-    other = claims.Book("a/2")
+    _forwarded(claims.ClaimTracker("a/1"), store, "c1")
+    other = claims.ClaimTracker("a/2")
     (reject,) = _forwarded(other, store, "c2")
     assert reject.verdict is MAY
     assert reject.reason is reasons.Refusal.OUTCOME_UNKNOWN
@@ -269,8 +273,8 @@
 
 def test_a_repeat_while_it_runs_is_told_so():
     store = Store()
-    _forwarded(claims.Book("a/1"), store, "c1")
-    other = claims.Book("b/1")
+    _forwarded(claims.ClaimTracker("a/1"), store, "c1")
+    other = claims.ClaimTracker("b/1")
     other.owner_alive("a/1")
     (reject,) = _forwarded(other, store, "c2")
     assert reject.reason is reasons.Refusal.KEY_IN_PROGRESS
@@ -278,29 +282,29 @@
 
 def test_one_key_for_two_requests_is_a_conflict():
     store = Store()
-    _forwarded(claims.Book("a/1"), store, "c1")
-    (reject,) = _forwarded(claims.Book("b/1"), store, "c2", digest="x")
+    _forwarded(claims.ClaimTracker("a/1"), store, "c1")
+    (reject,) = _forwarded(claims.ClaimTracker("b/1"), store, "c2", digest="x")
     assert reject.reason is reasons.Refusal.CONFLICT
     assert reject.verdict is NOT_RUN
 
 
 def test_claims_that_wait_go_out_in_one_write():
-    book, store = claims.Book("a/1"), Store()
-    (first,) = _ask(book, "c0", key="k0")
+    tracker, store = claims.ClaimTracker("a/1"), Store()
+    (first,) = _ask(tracker, "c0", key="k0")
     for number in range(1, 50):
-        assert _ask(book, f"c{number}", key=f"k{number}") == []
+        assert _ask(tracker, f"c{number}", key=f"k{number}") == []
     result = store.apply(first.swaps)
-    forward, second = book.written(first.write_id, result, 0.0)
+    forward, second = tracker.written(first.write_id, result, 0.0)
     assert forward == claims.Forward("c0")
     assert len(second.swaps) == 49
 
 
 def test_not_run_frees_the_key():
-    book, store = claims.Book("a/1"), Store()
-    _forwarded(book, store, "c1")
-    (write,) = book.settle("c1", NOT_RUN, None, 1.0)
-    book.written(write.write_id, store.apply(write.swaps), 1.0)
-    assert _forwarded(claims.Book("b/1"), store, "c2") == [
+    tracker, store = claims.ClaimTracker("a/1"), Store()
+    _forwarded(tracker, store, "c1")
+    (write,) = tracker.settle("c1", NOT_RUN, None, 1.0)
+    tracker.written(write.write_id, store.apply(write.swaps), 1.0)
+    assert _forwarded(claims.ClaimTracker("b/1"), store, "c2") == [
         claims.Forward("c2")
     ]
 
@@ -314,24 +318,24 @@
 
 
 def test_a_void_claim_that_lands_late_is_freed_on_the_next_repeat():
-    book, store = claims.Book("a/1"), Store()
-    (late,) = _ask(book, "c1")
-    (again,) = book.written(late.write_id, claims.Lost(), 0.0)
-    book.written(again.write_id, store.apply(again.swaps), 0.0)
-    (delete,) = book.settle("c1", NOT_RUN, None, 1.0)
-    book.written(delete.write_id, store.apply(delete.swaps), 1.0)
-    assert isinstance(store.apply(late.swaps), claims.Landed)
-    (ask,) = _ask(book, "c2")
-    (free,) = book.written(ask.write_id, store.apply(ask.swaps), 1.0)
-    (claim,) = book.written(free.write_id, store.apply(free.swaps), 1.0)
-    actions = book.written(claim.write_id, store.apply(claim.swaps), 1.0)
+    tracker, store = claims.ClaimTracker("a/1"), Store()
+    (late,) = _ask(tracker, "c1")
+    (again,) = tracker.written(late.write_id, claims.WriteUnknown(), 0.0)
+    tracker.written(again.write_id, store.apply(again.swaps), 0.0)
+    (delete,) = tracker.settle("c1", NOT_RUN, None, 1.0)
+    tracker.written(delete.write_id, store.apply(delete.swaps), 1.0)
+    assert isinstance(store.apply(late.swaps), claims.WriteApplied)
+    (ask,) = _ask(tracker, "c2")
+    (free,) = tracker.written(ask.write_id, store.apply(ask.swaps), 1.0)
+    (claim,) = tracker.written(free.write_id, store.apply(free.swaps), 1.0)
+    actions = tracker.written(claim.write_id, store.apply(claim.swaps), 1.0)
     assert actions == [claims.Forward("c2")]
 
 
 def test_a_claim_that_is_recorded_too_late_is_not_forwarded():
-    book, store = claims.Book("a/1"), Store()
-    (write,) = _ask(book, "c1", forward_by=5.0)
+    tracker, store = claims.ClaimTracker("a/1"), Store()
+    (write,) = _ask(tracker, "c1", forward_by=5.0)
     result = store.apply(write.swaps)
-    reject, delete = book.written(write.write_id, result, 5.0)
+    reject, delete = tracker.written(write.write_id, result, 5.0)
     assert reject.verdict is NOT_RUN
     assert [swap.record for swap in delete.swaps] == [None]
