--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -81,7 +81,7 @@
             str(self._backend),
         )
         self._metrics = metrics_page.MetricsPage(
-            settings.metrics, self._beliefs
+            settings.metrics, self._gauge_values
         )
         self._tasks = []
         self._moves_by_model = {}
@@ -131,13 +131,13 @@
         self._neighbours.close()
         self._teller.close()
 
-    def _beliefs(self):
-        """Return each `measures.Belief` as of now."""
+    def _gauge_values(self):
+        """Return each `measures.GaugeValue` as of now."""
         wanted = [
-            measures.Belief("versions_wanted", version, model)
+            measures.GaugeValue("versions_wanted", version, model)
             for model, version in self._versions.wanted_by_model.items()
         ]
-        return [*self._paths.beliefs(), *wanted]
+        return [*self._paths.gauge_values(), *wanted]
 
     async def _ping(self):
         """Have the store notice when it is lost and back.
--- a/packages/gateway/anvilwell_gateway/batches/holder.py
+++ b/packages/gateway/anvilwell_gateway/batches/holder.py
@@ -69,17 +69,17 @@
             sharing,
         )
 
-    def beliefs(self):
+    def gauge_values(self):
         """Return how many batches and items this entry has."""
         held_now = self.held_by_id.values()
         waiting = sum(len(held.book.waiting_ids()) for held in held_now)
         running = sum(len(held.runs_by_item) for held in held_now)
         unscored = sum(len(held.book.unscored_ids()) for held in held_now)
         return [
-            measures.Belief("batches", len(held_now)),
-            measures.Belief("items_waiting", waiting),
-            measures.Belief("items_running", running),
-            measures.Belief("items_unscored", unscored),
+            measures.GaugeValue("batches", len(held_now)),
+            measures.GaugeValue("items_waiting", waiting),
+            measures.GaugeValue("items_running", running),
+            measures.GaugeValue("items_unscored", unscored),
         ]
 
     def needs_by_model(self):
--- a/packages/gateway/anvilwell_gateway/batches/sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/sharing.py
@@ -167,7 +167,7 @@
         self.on_change()
         await responder.send(200, (), cbor2.dumps(counts_by_replica))
 
-    def beliefs(self):
+    def gauge_values(self):
         """Return how many places are lent and borrowed, of split services."""
         now = asyncio.get_running_loop().time()
         split = [
@@ -178,8 +178,8 @@
         lent = sum(known.all_lent(now) for known in split)
         borrowed = sum(known.all_borrowed(now) for known in split)
         return [
-            measures.Belief("places_lent", lent),
-            measures.Belief("places_borrowed", borrowed),
+            measures.GaugeValue("places_lent", lent),
+            measures.GaugeValue("places_borrowed", borrowed),
         ]
 
     def close(self):
--- a/packages/gateway/anvilwell_gateway/configuration.py
+++ b/packages/gateway/anvilwell_gateway/configuration.py
@@ -61,14 +61,14 @@
         if self._reading:
             await asyncio.wait((self._reading,))
 
-    def beliefs(self):
+    def gauge_values(self):
         """Return the version in force and its age, if there is one."""
         if self.current is None:
             return []
         age_s = asyncio.get_running_loop().time() - self._taken_at
         return [
-            measures.Belief("configuration_version", self.current.version),
-            measures.Belief("configuration_age_s", age_s),
+            measures.GaugeValue("configuration_version", self.current.version),
+            measures.GaugeValue("configuration_age_s", age_s),
         ]
 
     async def stop(self):
--- a/packages/gateway/anvilwell_gateway/crashes.py
+++ b/packages/gateway/anvilwell_gateway/crashes.py
@@ -95,10 +95,10 @@
         self._direct.entries_changed()
         self._catch_up.entries_changed()
 
-    def beliefs(self):
+    def gauge_values(self):
         """Return how many requests are held back."""
         held_back = self._quarantine.held_back(self._loop.time())
-        return [measures.Belief("requests_held_back", held_back)]
+        return [measures.GaugeValue("requests_held_back", held_back)]
 
     @property
     def is_empty(self):
--- a/packages/gateway/anvilwell_gateway/directory.py
+++ b/packages/gateway/anvilwell_gateway/directory.py
@@ -218,10 +218,10 @@
         self._changed_ids.add(replica_id)
         self._is_membership |= is_membership
 
-    def beliefs(self):
+    def gauge_values(self):
         """Return how many replicas each service has."""
         return [
-            measures.Belief("replicas", len(usable_by_id), service)
+            measures.GaugeValue("replicas", len(usable_by_id), service)
             for service, usable_by_id in self._usable_by_service.items()
             if usable_by_id
         ]
--- a/packages/gateway/anvilwell_gateway/duties/reporting.py
+++ b/packages/gateway/anvilwell_gateway/duties/reporting.py
@@ -125,12 +125,12 @@
         except exceptions.AnvilwellError as error:
             _LOG.log("usage-not-left", cause=error.message)
 
-    def beliefs(self):
+    def gauge_values(self):
         """Return whether this process reports, and what it has to send."""
         tenure = self._duty.tenure
         return [
-            measures.Belief("reports_usage", tenure is not None),
-            measures.Belief("reports_unsent", len(self._unsent)),
+            measures.GaugeValue("reports_usage", tenure is not None),
+            measures.GaugeValue("reports_unsent", len(self._unsent)),
         ]
 
     def _knows_time(self):
--- a/packages/gateway/anvilwell_gateway/duties/reports.py
+++ b/packages/gateway/anvilwell_gateway/duties/reports.py
@@ -37,8 +37,8 @@
         """Take what another entry tells."""
 
     @abc.abstractmethod
-    def beliefs(self):
-        """Return each `measures.Belief` as of now."""
+    def gauge_values(self):
+        """Return each `measures.GaugeValue` as of now."""
 
 
 class NoUsage(Usage):
@@ -60,7 +60,7 @@
         """Say that nobody reports here."""
         await responder.send(404)
 
-    def beliefs(self):
+    def gauge_values(self):
         """Return nothing."""
         return []
 
@@ -114,9 +114,9 @@
         true_time = self._reporter.hear(told)
         await responder.send(200, (), telling.write_true_time(true_time))
 
-    def beliefs(self):
-        """Return each `measures.Belief` as of now."""
-        return self._reporter.beliefs()
+    def gauge_values(self):
+        """Return each `measures.GaugeValue` as of now."""
+        return self._reporter.gauge_values()
 
 
 def build(settings, platform, presence, news):
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -76,7 +76,7 @@
             self._batches.holder.needs_by_model,
         )
         self._metrics = metrics_page.MetricsPage(
-            settings.metrics, self._beliefs
+            settings.metrics, self._gauge_values
         )
 
     @property
@@ -199,12 +199,12 @@
         await self.fleet.close()
         self._pool.close()
 
-    def _beliefs(self):
-        """Return each `measures.Belief` as of now."""
+    def _gauge_values(self):
+        """Return each `measures.GaugeValue` as of now."""
         return [
-            *self.fleet.beliefs(),
-            *self._batches.holder.beliefs(),
-            *self._batches.sharing.beliefs(),
-            *self.live_calls.beliefs(),
-            measures.Belief("bytes_held", self._budget.held),
+            *self.fleet.gauge_values(),
+            *self._batches.holder.gauge_values(),
+            *self._batches.sharing.gauge_values(),
+            *self.live_calls.gauge_values(),
+            measures.GaugeValue("bytes_held", self._budget.held),
         ]
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -109,12 +109,12 @@
         await self.paths.close()
         self.neighbours.close()
 
-    def beliefs(self):
-        """Return each `measures.Belief` as of now."""
+    def gauge_values(self):
+        """Return each `measures.GaugeValue` as of now."""
         return [
-            *self.configuration.beliefs(),
-            *self.presence.beliefs(),
-            *self.paths.beliefs(),
-            *self.directory.beliefs(),
-            measures.Belief("peers", len(self.news.lives_by_vm)),
+            *self.configuration.gauge_values(),
+            *self.presence.gauge_values(),
+            *self.paths.gauge_values(),
+            *self.directory.gauge_values(),
+            measures.GaugeValue("peers", len(self.news.lives_by_vm)),
         ]
--- a/packages/gateway/anvilwell_gateway/live_calls.py
+++ b/packages/gateway/anvilwell_gateway/live_calls.py
@@ -73,6 +73,6 @@
         await self.crashes.stop()
         await self.usage.stop()
 
-    def beliefs(self):
-        """Return each `measures.Belief` as of now."""
-        return [*self.crashes.beliefs(), *self.usage.beliefs()]
+    def gauge_values(self):
+        """Return each `measures.GaugeValue` as of now."""
+        return [*self.crashes.gauge_values(), *self.usage.gauge_values()]
--- a/packages/gateway/anvilwell_gateway/measures.py
+++ b/packages/gateway/anvilwell_gateway/measures.py
@@ -66,7 +66,7 @@
 }
 
 
-class Belief(typing.NamedTuple):
+class GaugeValue(typing.NamedTuple):
     """One value that a process goes by now; ``of`` tells of what."""
 
     name: str
@@ -79,11 +79,11 @@
     histogram.record(seconds, labels)
 
 
-def show(beliefs):
-    """Set the gauges to each `Belief`."""
-    for belief in beliefs:
-        labels = {"of": belief.of} if belief.of else {}
-        GAUGES_BY_NAME[belief.name].set(belief.value, labels)
+def set_gauges(values):
+    """Set the gauges to each `GaugeValue`."""
+    for value in values:
+        labels = {"of": value.of} if value.of else {}
+        GAUGES_BY_NAME[value.name].set(value.value, labels)
 
 
 def count_move(gained_s):
--- a/packages/gateway/anvilwell_gateway/metrics_page.py
+++ b/packages/gateway/anvilwell_gateway/metrics_page.py
@@ -15,14 +15,14 @@
     ----------
     section : config.MetricsSection
         Where to listen, and the page's path.
-    beliefs : callable
-        Returns each `measures.Belief` of the process as of now.
+    gauge_values : callable
+        Returns each `measures.GaugeValue` of the process as of now.
     """
 
-    def __init__(self, section, beliefs):
+    def __init__(self, section, gauge_values):
         super().__init__(section.listen, self._answer)
         self._path = section.path
-        self._beliefs = beliefs
+        self._gauge_values = gauge_values
 
     async def stop(self):
         """Answer what was read, and close everything."""
@@ -33,5 +33,5 @@
         if request.path != self._path:
             await responder.send(404)
             return
-        measures.show(self._beliefs())
+        measures.set_gauges(self._gauge_values())
         await responder.send(200, (_TYPE,), provider.page())
--- a/packages/gateway/anvilwell_gateway/paths.py
+++ b/packages/gateway/anvilwell_gateway/paths.py
@@ -227,10 +227,10 @@
             self._answered(name)
         return answer
 
-    def beliefs(self):
+    def gauge_values(self):
         """Return whether a peer makes the calls."""
         is_detour = self._choice.current != choices.DIRECT
-        return [measures.Belief("store_through_peer", is_detour)]
+        return [measures.GaugeValue("store_through_peer", is_detour)]
 
     async def close(self):
         """Probe no more and close the connections to peers."""
--- a/packages/gateway/anvilwell_gateway/presence.py
+++ b/packages/gateway/anvilwell_gateway/presence.py
@@ -128,11 +128,11 @@
         """Return how long ago the store answered, in seconds."""
         return asyncio.get_running_loop().time() - self._answered_at
 
-    def beliefs(self):
+    def gauge_values(self):
         """Return whether the live key is there and the store in touch."""
         return [
-            measures.Belief("registered", self.is_registered),
-            measures.Belief("store_in_touch", self.is_in_touch()),
+            measures.GaugeValue("registered", self.is_registered),
+            measures.GaugeValue("store_in_touch", self.is_in_touch()),
         ]
 
     def renew_soon(self):
