--- a/packages/decisions/anvilwell_decisions/requests/quarantine.py
+++ b/packages/decisions/anvilwell_decisions/requests/quarantine.py
@@ -13,14 +13,14 @@
 # lapses three heartbeats after its end, some four seconds, if nothing
 # else tells of it before.
 CUT_MEMORY_S = 6.0
-# After `SUSPECT_ENDS`. A caller's own retries fall into it, so a third
+# After `SUSPECT_CRASHES`. A caller's own retries fall into it, so a third
 # replica stays for the other callers; a bystander that was unlucky twice
 # may come back after it.
 SHORT_PAUSE_S = 5.0
-# After `PROVEN_ENDS` or more, and how long ends are remembered.
+# After `PROVEN_CRASHES` or more, and how long ends are remembered.
 LONG_PAUSE_S = 600.0
-SUSPECT_ENDS = 2
-PROVEN_ENDS = 3
+SUSPECT_CRASHES = 2
+PROVEN_CRASHES = 3
 
 
 class _Cut(typing.NamedTuple):
@@ -30,14 +30,14 @@
     at: float
 
 
-class _Record(typing.NamedTuple):
+class _CrashRecord(typing.NamedTuple):
     """The replicas that ended under one request, and the last time."""
 
     replica_ids: frozenset
     at: float
 
 
-class Known(typing.NamedTuple):
+class KnownCrashes(typing.NamedTuple):
     """The replicas that ended under a request, and how long ago the last.
 
     ``age_s`` is in seconds.
@@ -56,7 +56,7 @@
 
     def __init__(self):
         self._cuts_by_replica = collections.defaultdict(list)
-        self._ended_at_by_replica = {}
+        self._crashed_at_by_replica = {}
         self._records_by_fingerprint = {}
 
     @property
@@ -76,13 +76,13 @@
         end counts against the request at once.
         """
         self._forget_old(now)
-        if replica_id in self._ended_at_by_replica:
+        if replica_id in self._crashed_at_by_replica:
             self.learn(fingerprint, [replica_id], now)
             return True
         self._cuts_by_replica[replica_id].append(_Cut(fingerprint, now))
         return False
 
-    def ended(self, replica_id, now):
+    def record_crash(self, replica_id, now):
         """Note that a replica has ended.
 
         Returns
@@ -91,7 +91,7 @@
             Fingerprints of the requests that it counts against.
         """
         self._forget_old(now)
-        self._ended_at_by_replica[replica_id] = now
+        self._crashed_at_by_replica[replica_id] = now
         cuts = self._cuts_by_replica.pop(replica_id, ())
         found = {cut.fingerprint for cut in cuts}
         for fingerprint in found:
@@ -103,15 +103,15 @@
         known = self._records_by_fingerprint.get(fingerprint)
         before = known.replica_ids if known else frozenset()
         if not before.issuperset(replica_ids):
-            self._records_by_fingerprint[fingerprint] = _Record(
+            self._records_by_fingerprint[fingerprint] = _CrashRecord(
                 before.union(replica_ids), max(now, known.at) if known else now
             )
 
     def known(self, now):
-        """Return a `Known` of each request, those with most ends first."""
+        """Return a `KnownCrashes` of each request, most crashes first."""
         self._forget_old(now)
         known = [
-            Known(fingerprint, tuple(sorted(ids)), now - at)
+            KnownCrashes(fingerprint, tuple(sorted(ids)), now - at)
             for fingerprint, (ids, at) in self._records_by_fingerprint.items()
         ]
         return sorted(known, key=lambda one: -len(one.replica_ids))
@@ -125,32 +125,34 @@
         record = self._records_by_fingerprint.get(fingerprint)
         return record.replica_ids if record else frozenset()
 
-    def ends(self, fingerprint):
+    def crash_count(self, fingerprint):
         """Return how many replicas ended under a request."""
         return len(self.replica_ids(fingerprint))
 
     def needs_trial(self, fingerprint, now):
         """Return whether a request is suspect, but held back no longer."""
-        is_suspect = self.ends(fingerprint) >= SUSPECT_ENDS
+        is_suspect = self.crash_count(fingerprint) >= SUSPECT_CRASHES
         return is_suspect and not self.wait_s(fingerprint, now)
 
-    def wait_s(self, fingerprint, now, least_ends=SUSPECT_ENDS):
+    def wait_s(self, fingerprint, now, min_crashes=SUSPECT_CRASHES):
         """Return how long a request is held back, in seconds; 0 if not.
 
         Parameters
         ----------
-        least_ends : int
-            Ends from which on it is. `PROVEN_ENDS` is for work that loses
+        min_crashes : int
+            Ends from which on it is. `PROVEN_CRASHES` is for work that loses
             more by a short pause than one replica of many is worth.
         """
         record = self._records_by_fingerprint.get(fingerprint)
-        ends = len(record.replica_ids) if record else 0
-        if ends < least_ends:
+        crash_count = len(record.replica_ids) if record else 0
+        if crash_count < min_crashes:
             return 0.0
-        pause_s = LONG_PAUSE_S if ends >= PROVEN_ENDS else SHORT_PAUSE_S
+        pause_s = (
+            LONG_PAUSE_S if crash_count >= PROVEN_CRASHES else SHORT_PAUSE_S
+        )
         return max(0.0, record.at + pause_s - now)
 
-    def held_back(self, now):
+    def held_back_count(self, now):
         """Return how many requests are held back."""
         return sum(
             self.wait_s(fingerprint, now) > 0
@@ -163,9 +165,9 @@
             for fingerprint, record in self._records_by_fingerprint.items()
             if now - record.at < LONG_PAUSE_S
         }
-        self._ended_at_by_replica = {
+        self._crashed_at_by_replica = {
             replica_id: at
-            for replica_id, at in self._ended_at_by_replica.items()
+            for replica_id, at in self._crashed_at_by_replica.items()
             if now - at < CUT_MEMORY_S
         }
         for replica_id, cuts in list(self._cuts_by_replica.items()):
--- a/packages/decisions/tests/requests/test_quarantine.py
+++ b/packages/decisions/tests/requests/test_quarantine.py
@@ -19,14 +19,14 @@
 def _end(quarantine, replica_id, now, fingerprints=(BAD,)):
     for fingerprint in fingerprints:
         quarantine.cut(fingerprint, replica_id, now)
-    return quarantine.ended(replica_id, now)
+    return quarantine.record_crash(replica_id, now)
 
 
 def test_one_end_holds_nothing_back():
     quarantine = quarantines.Quarantine()
 
     assert _end(quarantine, "r1", 0.0) == {BAD}
-    assert quarantine.ends(BAD) == 1
+    assert quarantine.crash_count(BAD) == 1
     assert quarantine.wait_s(BAD, 0.0) == 0
 
 
@@ -54,12 +54,12 @@
         _end(quarantine, "r1", now)
     quarantine.learn(BAD, ["r1"], 0.3)
 
-    assert quarantine.ends(BAD) == 1
+    assert quarantine.crash_count(BAD) == 1
 
 
 def test_what_is_passed_on_ends_no_later_than_what_was_seen():
     first, second = quarantines.Quarantine(), quarantines.Quarantine()
-    for number in range(quarantines.SUSPECT_ENDS):
+    for number in range(quarantines.SUSPECT_CRASHES):
         _end(first, f"r{number}", 0.0)
     for one in first.known(2.0):
         second.learn(one.fingerprint, one.replica_ids, 2.0 - one.age_s)
@@ -73,14 +73,14 @@
     for number in range(9):
         quarantine.cut(BAD, f"r{number}", 0.0)
 
-    assert quarantine.ends(BAD) == 0
+    assert quarantine.crash_count(BAD) == 0
     late = quarantines.CUT_MEMORY_S + 0.1
-    assert quarantine.ended("r1", late) == set()
+    assert quarantine.record_crash("r1", late) == set()
 
 
 def test_work_that_loses_by_a_short_pause_waits_only_once_it_is_proven():
     quarantine = quarantines.Quarantine()
-    proven = quarantines.PROVEN_ENDS
+    proven = quarantines.PROVEN_CRASHES
     for number in range(proven):
         assert quarantine.wait_s(BAD, 0.0, proven) == 0
         _end(quarantine, f"r{number}", 0.0)
@@ -93,7 +93,7 @@
     _end(quarantine, "r1", 0.0, fingerprints=())
 
     assert quarantine.cut(BAD, "r1", 0.2)
-    assert quarantine.ends(BAD) == 1
+    assert quarantine.crash_count(BAD) == 1
 
 
 def test_a_request_that_is_answered_ends_no_replica():
@@ -102,8 +102,8 @@
         _end(quarantine, replica_id, 0.0, (BAD, SOUND))
     quarantine.answered(SOUND)
 
-    assert quarantine.ends(SOUND) == 0
-    assert quarantine.ends(BAD) == 2
+    assert quarantine.crash_count(SOUND) == 0
+    assert quarantine.crash_count(BAD) == 2
 
 
 def test_nothing_is_kept_for_ever():
@@ -112,9 +112,11 @@
         _end(quarantine, f"r{number}", float(number), (f"f{number}",))
     _end(quarantine, "last", 2 * quarantines.LONG_PAUSE_S + 1000.0)
 
-    assert quarantine.held_back(2 * quarantines.LONG_PAUSE_S + 1001.0) == 0
+    assert (
+        quarantine.held_back_count(2 * quarantines.LONG_PAUSE_S + 1001.0) == 0
+    )
     assert not quarantine.watched
-    quarantine.ended("r", 9999.0)
+    quarantine.record_crash("r", 9999.0)
     assert quarantine.is_empty
 
 
--- a/packages/gateway/anvilwell_gateway/attempts.py
+++ b/packages/gateway/anvilwell_gateway/attempts.py
@@ -183,25 +183,25 @@
     @property
     def _is_suspect(self):
         """Whether a replica has ended under this request."""
-        crashes = self._forwarder.crashes
-        return not crashes.is_empty and crashes.is_suspect(self.fingerprint)
+        tracker = self._forwarder.crash_tracker
+        return not tracker.is_empty and tracker.is_suspect(self.fingerprint)
 
     @property
     def _held_back_s(self):
         """How long no replica may get this request, in seconds."""
-        crashes = self._forwarder.crashes
-        if crashes.is_empty:
+        tracker = self._forwarder.crash_tracker
+        if tracker.is_empty:
             return self._refused_s
-        return max(self._refused_s, crashes.wait_s(self.fingerprint))
+        return max(self._refused_s, tracker.wait_s(self.fingerprint))
 
     @contextlib.asynccontextmanager
     async def _trial(self):
         """Let no other entry try the request meanwhile if it is suspect."""
-        crashes = self._forwarder.crashes
-        if crashes.is_empty:
+        tracker = self._forwarder.crash_tracker
+        if tracker.is_empty:
             yield
             return
-        async with crashes.tried(self.fingerprint) as self._refused_s:
+        async with tracker.trial(self.fingerprint) as self._refused_s:
             yield
 
     def _start(self, tasks):
@@ -249,15 +249,15 @@
 
         The next replica is chosen only once that is known.
         """
-        crashes = self._forwarder.crashes
+        tracker = self._forwarder.crash_tracker
         try:
             answer = await self._ask(replica)
         except exceptions.BackendFailed as error:
             if error.reason is reasons.Refusal.ANSWER_CUT:
-                await crashes.cut(self.fingerprint, replica)
+                await tracker.note_cut(self.fingerprint, replica)
             raise
-        if not crashes.is_empty:
-            crashes.answered(self.fingerprint)
+        if not tracker.is_empty:
+            tracker.answered(self.fingerprint)
         return answer
 
     def _begun(self, at):
--- a/packages/gateway/anvilwell_gateway/batches/holder.py
+++ b/packages/gateway/anvilwell_gateway/batches/holder.py
@@ -33,7 +33,7 @@
         The way of scoring calls.
     dialect : dialect.Dialect
         How those are written.
-    known_crashes : crashes.Crashes
+    crash_tracker : crash_tracker.CrashTracker
         Which items end replicas.
     sharing : sharing.Sharing
         Knows which places are for this entry.
@@ -47,7 +47,7 @@
         runner,
         forwarder,
         dialect,
-        known_crashes,
+        crash_tracker,
         sharing,
     ):
         self._store = batch_store
@@ -65,7 +65,7 @@
             runner,
             self.held_by_id,
             self._scorer.schedule,
-            known_crashes,
+            crash_tracker,
             sharing,
         )
 
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -57,7 +57,7 @@
         The batches that are owned now, kept by their `holder.Holder`.
     on_text : callable
         Told that a text is whole.
-    known_crashes : crashes.Crashes
+    crash_tracker : crash_tracker.CrashTracker
         Which items end replicas.
     sharing : sharings.Sharing
         Knows which places are for this entry.
@@ -70,10 +70,10 @@
         runner,
         held_by_id,
         on_text,
-        known_crashes,
+        crash_tracker,
         sharing,
     ):
-        self._crashes = known_crashes
+        self._crash_tracker = crash_tracker
         self._directory = directory
         self._configuration = configuration
         self._runner = runner
@@ -275,10 +275,10 @@
 
     def _is_held_back(self, held, item_id):
         """Return whether an item ends the replicas that run it."""
-        if self._crashes.is_empty:
+        if self._crash_tracker.is_empty:
             return False
         fingerprint = self._fingerprint(held, item_id)
-        return self._crashes.is_item_held_back(fingerprint)
+        return self._crash_tracker.is_item_held_back(fingerprint)
 
     def _fingerprint(self, held, item_id):
         known = held.fingerprints_by_item
@@ -391,9 +391,11 @@
             )
         if ended.is_cut:
             fingerprint = self._fingerprint(held, work.item_id)
-            await self._crashes.cut(fingerprint, worker.replica)
-        elif ended.end is runners.End.WHOLE and not self._crashes.is_empty:
-            self._crashes.answered(self._fingerprint(held, work.item_id))
+            await self._crash_tracker.note_cut(fingerprint, worker.replica)
+        elif (
+            ended.end is runners.End.WHOLE and not self._crash_tracker.is_empty
+        ):
+            self._crash_tracker.answered(self._fingerprint(held, work.item_id))
         self._note(held, work, worker, ended)
 
     def _note(self, held, work, worker, ended):
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -52,7 +52,7 @@
             runners.Runner(platform.dialect, pool),
             live_calls.forwarder,
             platform.dialect,
-            live_calls.crashes,
+            live_calls.crash_tracker,
             self.sharing,
         )
         fleet.store.listen_regained(self.holder.save_soon)
--- a/packages/gateway/anvilwell_gateway/catching_up.py
+++ b/packages/gateway/anvilwell_gateway/catching_up.py
@@ -12,7 +12,7 @@
 
 from anvilwell_decisions.requests import quarantine as quarantines
 from anvilwell_gateway import bodies
-from anvilwell_gateway import ends
+from anvilwell_gateway import crash_notifier
 from anvilwell_gateway.http import client
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
@@ -27,7 +27,7 @@
 MOST_KNOWN = 4096
 
 
-_KNOWN = pydantic.TypeAdapter(tuple[quarantines.Known, ...])
+_KNOWN = pydantic.TypeAdapter(tuple[quarantines.KnownCrashes, ...])
 
 _LOG = logs.get_logger(__name__)
 
@@ -42,7 +42,7 @@
     news : news.News
         The entries that live, and where.
     take : callable
-        Takes each `quarantine.Known`.
+        Takes each `quarantine.KnownCrashes`.
     """
 
     def __init__(self, vm_id, news, take):
@@ -61,7 +61,7 @@
     async def _ask_on(self):
         """Ask one after another; wait for news if all have answered."""
         try:
-            for wait_s in ends.waits_s():
+            for wait_s in crash_notifier.retry_delays_s():
                 for vm_id in self._unasked():
                     await self._ask(vm_id)
                 if not self._unasked():
--- a/packages/gateway/anvilwell_gateway/ends.py
+++ b/packages/gateway/anvilwell_gateway/crash_notifier.py
@@ -23,51 +23,53 @@
 LIMITS = bodies.Limits(timeout_s=0.5, max_bytes=4 << 10)
 # Waits between tries, the last one again and again: an entry that can't be
 # reached from here may take callers all the same.
-RETRIES_S = (0.25, 0.5, 1.0, 2.0, 4.0)
+RETRY_DELAYS_S = (0.25, 0.5, 1.0, 2.0, 4.0)
 # Ends that are kept for entries that lack them, the oldest make room: some
 # racks of replicas.
-MOST_UNTOLD = 256
+MAX_PENDING_CRASHES = 256
 
 
-class End(typing.NamedTuple):
+class Crash(typing.NamedTuple):
     """A replica that ended, and the requests that it cut then."""
 
     replica_id: str
     fingerprints: tuple[str, ...]
 
 
-_ENDS = pydantic.TypeAdapter(tuple[End, ...])
+_CRASHES = pydantic.TypeAdapter(tuple[Crash, ...])
 
 _LOG = logs.get_logger(__name__)
 
 
 def read(body):
-    """Return each `End` in a request's body.
+    """Return each `Crash` in a request's body.
 
     Raises
     ------
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_ENDS, body, "ends of replicas")
+    return bodies.read(_CRASHES, body, "ends of replicas")
 
 
-class _Told(typing.NamedTuple):
-    """The ends that one life of an entry is known to know."""
+class _Delivered(typing.NamedTuple):
+    """The ends that one incarnation of an entry is known to know."""
 
-    life: str
-    ends: frozenset
+    incarnation: str
+    crashes: frozenset
 
 
-_NOTHING = _Told("", frozenset())
+_NONE_DELIVERED = _Delivered("", frozenset())
 
 
-def waits_s():
+def retry_delays_s():
     """Return the waits between tries at other entries, in seconds."""
-    return itertools.chain(RETRIES_S, itertools.repeat(RETRIES_S[-1]))
+    return itertools.chain(
+        RETRY_DELAYS_S, itertools.repeat(RETRY_DELAYS_S[-1])
+    )
 
 
-class Teller:
+class CrashNotifier:
     """Tells each entry that is known, one message at a time.
 
     One that is heard of after an end is told of it then. An end is told for
@@ -86,91 +88,103 @@
         self._news = news
         self._clock = asyncio.get_running_loop().time
         self._pool = client.Pool(self._clock, True)
-        self._noted_at_by_end = {}
-        self._told_by_vm = {}
+        self._observed_at_by_crash = {}
+        self._delivered_by_vm = {}
         self._tasks_by_vm = {}
 
-    def tell(self, end):
-        """Tell all other entries of an `End`."""
-        self._noted_at_by_end[end] = self._clock()
-        excess = len(self._noted_at_by_end) - MOST_UNTOLD
-        for oldest in list(self._noted_at_by_end)[: max(0, excess)]:
-            del self._noted_at_by_end[oldest]
+    def notify(self, crash):
+        """Tell all other entries of a `Crash`."""
+        self._observed_at_by_crash[crash] = self._clock()
+        excess = len(self._observed_at_by_crash) - MAX_PENDING_CRASHES
+        for oldest in list(self._observed_at_by_crash)[: max(0, excess)]:
+            del self._observed_at_by_crash[oldest]
             _LOG.log("end-forgotten", replica=oldest.replica_id)
         self.entries_changed()
 
     def entries_changed(self):
         """Tell each entry that is known what it lacks."""
-        if not self._noted_at_by_end:
+        if not self._observed_at_by_crash:
             return
         vm_ids = set(self._news.addresses_by_vm) - {self._vm_id}
-        self._told_by_vm = {
-            vm_id: told
-            for vm_id, told in self._told_by_vm.items()
+        self._delivered_by_vm = {
+            vm_id: delivered
+            for vm_id, delivered in self._delivered_by_vm.items()
             if vm_id in vm_ids
         }
         for vm_id in sorted(vm_ids.difference(self._tasks_by_vm)):
-            if self._untold(vm_id):
-                task = asyncio.create_task(self._tell_on(vm_id))
+            if self._pending(vm_id):
+                task = asyncio.create_task(self._notify_entry(vm_id))
                 self._tasks_by_vm[vm_id] = task
 
-    def _untold(self, vm_id):
+    def _pending(self, vm_id):
         """Return the ends that an entry lacks, as far as is known here."""
         oldest_at = self._clock() - quarantines.LONG_PAUSE_S
-        self._noted_at_by_end = {
-            end: at
-            for end, at in self._noted_at_by_end.items()
+        self._observed_at_by_crash = {
+            crash: at
+            for crash, at in self._observed_at_by_crash.items()
             if at > oldest_at
         }
-        told = self._told(vm_id, self._life(vm_id))
-        return tuple(end for end in self._noted_at_by_end if end not in told)
+        delivered = self._delivered(vm_id, self._incarnation(vm_id))
+        return tuple(
+            crash
+            for crash in self._observed_at_by_crash
+            if crash not in delivered
+        )
 
-    def _life(self, vm_id):
+    def _incarnation(self, vm_id):
         return self._news.lives_by_vm.get(vm_id, "")
 
-    def _told(self, vm_id, life):
-        """Return the ends that one life of an entry was told."""
-        known = self._told_by_vm.get(vm_id, _NOTHING)
-        return known.ends if known.life == life else frozenset()
+    def _delivered(self, vm_id, incarnation):
+        """Return the ends that one incarnation of an entry was told."""
+        delivered = self._delivered_by_vm.get(vm_id, _NONE_DELIVERED)
+        return (
+            delivered.crashes
+            if delivered.incarnation == incarnation
+            else frozenset()
+        )
 
-    async def _tell_on(self, vm_id):
+    async def _notify_entry(self, vm_id):
         """Tell an entry that lives what it lacks, what comes meanwhile too.
 
         One that is not known to live is told once it is heard of again.
         """
-        pauses_s = waits_s()
+        delays_s = retry_delays_s()
         try:
-            while self._lives(vm_id) and (untold := self._untold(vm_id)):
-                life = self._life(vm_id)
+            while self._is_live(vm_id) and (pending := self._pending(vm_id)):
+                incarnation = self._incarnation(vm_id)
                 try:
-                    await self._tell(vm_id, untold)
+                    await self._send(vm_id, pending)
                 except exceptions.AnvilwellError as error:
-                    self._log_untold(vm_id, untold, error.message)
-                    await asyncio.sleep(next(pauses_s))
+                    self._log_failure(vm_id, pending, error.message)
+                    await asyncio.sleep(next(delays_s))
                 else:
-                    self._note(vm_id, life, untold)
-                    pauses_s = waits_s()
+                    self._record_delivery(vm_id, incarnation, pending)
+                    delays_s = retry_delays_s()
         finally:
             del self._tasks_by_vm[vm_id]
 
-    def _lives(self, vm_id):
+    def _is_live(self, vm_id):
         return vm_id in self._news.addresses_by_vm
 
-    def _note(self, vm_id, life, ends):
+    def _record_delivery(self, vm_id, incarnation, crashes):
         """Note what an entry was told, as long as it would be told."""
-        told = self._told(vm_id, life).intersection(self._noted_at_by_end)
-        self._told_by_vm[vm_id] = _Told(life, told.union(ends))
+        delivered = self._delivered(vm_id, incarnation).intersection(
+            self._observed_at_by_crash
+        )
+        self._delivered_by_vm[vm_id] = _Delivered(
+            incarnation, delivered.union(crashes)
+        )
 
-    async def _tell(self, vm_id, told):
+    async def _send(self, vm_id, crashes):
         address = self._news.addresses_by_vm[vm_id]
-        await bodies.ask(self._pool, vm_id, address, TARGET, told, LIMITS)
+        await bodies.ask(self._pool, vm_id, address, TARGET, crashes, LIMITS)
 
     @staticmethod
-    def _log_untold(vm_id, untold, cause):
+    def _log_failure(vm_id, pending, cause):
         _LOG.log(
             "end-not-told",
             entry=vm_id,
-            replicas=[end.replica_id for end in untold],
+            replicas=[crash.replica_id for crash in pending],
             cause=cause,
         )
 
--- a/packages/gateway/anvilwell_gateway/crashes.py
+++ b/packages/gateway/anvilwell_gateway/crash_tracker.py
@@ -16,7 +16,7 @@
 
 from anvilwell_decisions.requests import quarantine as quarantines
 from anvilwell_gateway import catching_up
-from anvilwell_gateway import ends as ends_of_replicas
+from anvilwell_gateway import crash_notifier
 from anvilwell_gateway.http import client
 from anvilwell_gateway import measures
 from anvilwell_gateway import news
@@ -29,28 +29,26 @@
 
 PREFIX = f"{news.PREFIX}crashes/"
 # Other entries tell and ask under these targets.
-TARGETS = frozenset(
-    (ends_of_replicas.TARGET, catching_up.TARGET, trials.TARGET)
-)
+TARGETS = frozenset((crash_notifier.TARGET, catching_up.TARGET, trials.TARGET))
 # A replica whose process has ended refuses a connection within a round
 # trip, a millisecond or two. A VM that is silent tells nothing in time.
-LOOK_S = 0.1
+CRASH_CHECK_WAIT_S = 0.1
 # A refusal that is later still counts: this VM or the replica's may be busy.
-LONGEST_LOOK_S = 2.0
+CRASH_CHECK_TIMEOUT_S = 2.0
 # Ends that come together share a write: a rack's replicas end at once.
-GATHER_S = 0.05
+WRITE_DELAY_S = 0.05
 # Replicas' ends in one write; the store takes 32 keys.
-MOST_KEYS = 32
+MAX_KEYS_PER_WRITE = 32
 # Between tries of a write that failed, as for reads of the store.
-RETRY_S = 1.0
+WRITE_RETRY_S = 1.0
 
 
-_END = pydantic.TypeAdapter(ends_of_replicas.End)
+_CRASH = pydantic.TypeAdapter(crash_notifier.Crash)
 
 _LOG = logs.get_logger(__name__)
 
 
-class Crashes:
+class CrashTracker:
     """Knows which requests end replicas, here and at other entries.
 
     Parameters
@@ -71,33 +69,33 @@
         self._vm_id = vm_id
         self._loop = asyncio.get_running_loop()
         self._quarantine = quarantines.Quarantine()
-        self._direct = ends_of_replicas.Teller(vm_id, peers)
-        self._catch_up = catching_up.CatchUp(vm_id, peers, self._catch)
+        self._notifier = crash_notifier.CrashNotifier(vm_id, peers)
+        self._catch_up = catching_up.CatchUp(vm_id, peers, self._learn_known)
         self._trials = trials.Trials(vm_id, peers, self._quarantine)
-        self._untold_by_replica = {}
-        self._told_by_replica = {}
+        self._unwritten_by_replica = {}
+        self._written_by_replica = {}
         self._revisions_by_key = {}
-        self._teller = None
-        self._looks = set()
+        self._writer_task = None
+        self._checks = set()
         self._lease = 0
         self._lease_until = float("-inf")
         directory.listen(self._replicas_changed)
 
     async def stop(self):
         """Tell no more."""
-        await self._direct.stop()
+        await self._notifier.stop()
         await self._catch_up.stop()
         await self._trials.stop()
-        await tasks.stop(self._teller, *self._looks)
+        await tasks.stop(self._writer_task, *self._checks)
 
     def entries_changed(self):
         """Tell and ask the entries that were heard of since."""
-        self._direct.entries_changed()
+        self._notifier.entries_changed()
         self._catch_up.entries_changed()
 
     def gauge_values(self):
         """Return how many requests are held back."""
-        held_back = self._quarantine.held_back(self._loop.time())
+        held_back = self._quarantine.held_back_count(self._loop.time())
         return [measures.GaugeValue("requests_held_back", held_back)]
 
     @property
@@ -110,13 +108,13 @@
         return self._quarantine.wait_s(fingerprint, self._loop.time())
 
     @contextlib.asynccontextmanager
-    async def tried(self, fingerprint):
+    async def trial(self, fingerprint):
         """Give how long a request must wait, in seconds; 0 if not.
 
         One that has ended replicas is tried once at a time at all entries.
         """
         if self._quarantine.needs_trial(fingerprint, self._loop.time()):
-            async with self._trials.tried(fingerprint) as wait_s:
+            async with self._trials.trial(fingerprint) as wait_s:
                 yield wait_s
         else:
             yield self.wait_s(fingerprint)
@@ -127,45 +125,45 @@
         There are many engines, and five seconds cost an item its step.
         """
         wait_s = self._quarantine.wait_s(
-            fingerprint, self._loop.time(), quarantines.PROVEN_ENDS
+            fingerprint, self._loop.time(), quarantines.PROVEN_CRASHES
         )
         return wait_s > 0
 
     def is_suspect(self, fingerprint):
         """Return whether a replica has ended under a request."""
-        return self._quarantine.ends(fingerprint) > 0
+        return self._quarantine.crash_count(fingerprint) > 0
 
     def answered(self, fingerprint):
         """Note that a replica answered a request whole."""
         self._quarantine.answered(fingerprint)
 
-    async def cut(self, fingerprint, replica):
+    async def note_cut(self, fingerprint, replica):
         """Note that `replica` cut an answer; find out whether it ended.
 
-        What may follow is known once this returns, within `LOOK_S`, but
+        The result is known within `CRASH_CHECK_WAIT_S`, except
         for a replica that refuses connections only later.
         """
         replica_id = replica.replica_id
         now = self._loop.time()
         if self._quarantine.cut(fingerprint, replica_id, now):
-            self._counted(replica_id, {fingerprint})
+            self._report_crash(replica_id, {fingerprint})
         elif not self._directory.lives(replica_id):
-            self._ended(replica_id)
+            self._record_crash(replica_id)
         else:
-            look = asyncio.create_task(self._look(replica))
-            self._looks.add(look)
-            look.add_done_callback(self._looks.discard)
-            await asyncio.wait({look}, timeout=LOOK_S)
+            check = asyncio.create_task(self._check(replica))
+            self._checks.add(check)
+            check.add_done_callback(self._checks.discard)
+            await asyncio.wait({check}, timeout=CRASH_CHECK_WAIT_S)
 
-    async def _look(self, replica):
+    async def _check(self, replica):
         """Find out whether a replica has ended."""
-        if await _refuses(replica.address):
-            self._ended(replica.replica_id)
+        if await _refuses_connections(replica.address):
+            self._record_crash(replica.replica_id)
 
     def load(self, entries_by_key):
         """Take in all ends that were told."""
         for key, entry in entries_by_key.items():
-            self._learn(key, entry.value)
+            self._read_record(key, entry.value)
 
     def change(self, change):
         """Take in the ends that one entry tells.
@@ -174,16 +172,16 @@
         what was learned holds for its own time.
         """
         if change.value is not None:
-            self._learn(change.key, change.value)
+            self._read_record(change.key, change.value)
 
-    def _learn(self, key, value):
+    def _read_record(self, key, value):
         try:
-            end = _END.validate_python(cbor2.loads(value))
+            crash = _CRASH.validate_python(cbor2.loads(value))
         except (cbor2.CBORError, ValueError) as error:
             counters.count_unreadable("crash")
             _LOG.log("crash-unreadable", key=key, cause=repr(error))
             return
-        self._take(end)
+        self._learn(crash)
 
     async def answer(self, request, responder):
         """Answer what another entry tells or asks directly."""
@@ -196,11 +194,11 @@
             most = known[: catching_up.MOST_KNOWN]
             await responder.send(200, (), cbor2.dumps(most))
             return
-        for end in ends_of_replicas.read(request.body):
-            self._take(end)
+        for crash in crash_notifier.read(request.body):
+            self._learn(crash)
         await responder.send(200)
 
-    def _catch(self, known):
+    def _learn_known(self, known):
         """Take in what another entry knew before this one started."""
         self._quarantine.learn(
             known.fingerprint,
@@ -208,10 +206,10 @@
             self._loop.time() - known.age_s,
         )
 
-    def _take(self, end):
+    def _learn(self, crash):
         now = self._loop.time()
-        for fingerprint in end.fingerprints:
-            self._quarantine.learn(fingerprint, [end.replica_id], now)
+        for fingerprint in crash.fingerprints:
+            self._quarantine.learn(fingerprint, [crash.replica_id], now)
 
     def _replicas_changed(self, changed):
         if not changed.is_membership:
@@ -219,58 +217,60 @@
         watched = self._quarantine.watched
         for replica_id in watched.intersection(changed.replica_ids):
             if not self._directory.lives(replica_id):
-                self._ended(replica_id)
+                self._record_crash(replica_id)
 
-    def _ended(self, replica_id):
-        found = self._quarantine.ended(replica_id, self._loop.time())
-        self._counted(replica_id, found)
+    def _record_crash(self, replica_id):
+        found = self._quarantine.record_crash(replica_id, self._loop.time())
+        self._report_crash(replica_id, found)
 
-    def _counted(self, replica_id, fingerprints):
+    def _report_crash(self, replica_id, fingerprints):
         """Log and tell that a replica ended under requests."""
         if not fingerprints:
             return
-        ends = {one: self._quarantine.ends(one) for one in fingerprints}
+        counts = {
+            one: self._quarantine.crash_count(one) for one in fingerprints
+        }
         _LOG.log(
             "replica-ended",
             replica=replica_id,
-            requests=len(ends),
+            requests=len(counts),
             ends_by_suspect={
-                one: count for one, count in ends.items() if count > 1
+                one: count for one, count in counts.items() if count > 1
             },
         )
-        self._direct.tell(
-            ends_of_replicas.End(replica_id, tuple(sorted(fingerprints)))
+        self._notifier.notify(
+            crash_notifier.Crash(replica_id, tuple(sorted(fingerprints)))
         )
-        self._untold_by_replica.setdefault(replica_id, set()).update(
+        self._unwritten_by_replica.setdefault(replica_id, set()).update(
             fingerprints
         )
-        if self._teller is None or self._teller.done():
-            self._teller = asyncio.create_task(self._tell())
+        if self._writer_task is None or self._writer_task.done():
+            self._writer_task = asyncio.create_task(self._write_all())
 
-    async def _tell(self):
+    async def _write_all(self):
         """Write what other entries are to know until it is all written."""
-        while self._untold_by_replica:
-            await asyncio.sleep(GATHER_S)
-            replica_ids = list(self._untold_by_replica)[:MOST_KEYS]
+        while self._unwritten_by_replica:
+            await asyncio.sleep(WRITE_DELAY_S)
+            replica_ids = list(self._unwritten_by_replica)[:MAX_KEYS_PER_WRITE]
             try:
                 await self._write(replica_ids)
             except exceptions.AnvilwellError as error:
                 _LOG.log("ends-not-told", cause=error.message)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(WRITE_RETRY_S)
 
     async def _write(self, replica_ids):
         """Write what is untold of replicas, each under a key of our own.
 
         A write that landed without an answer is found by the next one.
         """
-        told_by_replica = {
-            replica_id: self._told_by_replica.get(replica_id, frozenset())
-            | self._untold_by_replica[replica_id]
+        written_by_replica = {
+            replica_id: self._written_by_replica.get(replica_id, frozenset())
+            | self._unwritten_by_replica[replica_id]
             for replica_id in replica_ids
         }
-        lease = await self._take_lease()
+        lease = await self._ensure_lease()
         swaps = []
-        for replica_id, fingerprints in told_by_replica.items():
+        for replica_id, fingerprints in written_by_replica.items():
             key = own_key(replica_id, self._vm_id)
             value = cbor2.dumps((replica_id, tuple(sorted(fingerprints))))
             revision = self._revisions_by_key.get(key, 0)
@@ -285,21 +285,21 @@
         }
         if not result.landed:
             raise exceptions.Conflict("an end was told before")
-        self._told(told_by_replica)
+        self._record_written(written_by_replica)
 
-    def _told(self, told_by_replica):
-        self._told_by_replica |= told_by_replica
-        for replica_id, told in told_by_replica.items():
-            if told.issuperset(self._untold_by_replica[replica_id]):
-                del self._untold_by_replica[replica_id]
+    def _record_written(self, written_by_replica):
+        self._written_by_replica |= written_by_replica
+        for replica_id, written in written_by_replica.items():
+            if written.issuperset(self._unwritten_by_replica[replica_id]):
+                del self._unwritten_by_replica[replica_id]
 
-    async def _take_lease(self):
+    async def _ensure_lease(self):
         """Return a lease that lasts; nobody renews it."""
         now = self._loop.time()
         if now > self._lease_until:
             self._lease = await self._store.grant(quarantines.LONG_PAUSE_S)
             # A key that is written once more after this is read first.
-            self._told_by_replica = {}
+            self._written_by_replica = {}
             self._revisions_by_key = {}
             self._lease_until = now + quarantines.LONG_PAUSE_S / 2
         return self._lease
@@ -322,10 +322,12 @@
     return entry.revision if entry else 0
 
 
-async def _refuses(address):
+async def _refuses_connections(address):
     """Return whether nothing listens at a replica's address any more."""
     try:
-        connection = await client.Connection.open(address, LONGEST_LOOK_S)
+        connection = await client.Connection.open(
+            address, CRASH_CHECK_TIMEOUT_S
+        )
     except exceptions.BackendFailed as error:
         return isinstance(error.__cause__, ConnectionRefusedError)
     connection.close()
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -111,9 +111,9 @@
         return self.live_calls.usage.holder
 
     @property
-    def crashes(self):
+    def crash_tracker(self):
         """Which requests end replicas, as far as is known here."""
-        return self.live_calls.crashes
+        return self.live_calls.crash_tracker
 
     @property
     def in_flight(self):
--- a/packages/gateway/anvilwell_gateway/forwarding.py
+++ b/packages/gateway/anvilwell_gateway/forwarding.py
@@ -42,7 +42,7 @@
         Connections to them.
     configuration : configuration.ConfigurationFollower
         What decided the route; its version is logged.
-    known_crashes : crashes.Crashes
+    crash_tracker : crash_tracker.CrashTracker
         Which requests end replicas.
     count_begun : callable
         Told who sent a request, and when a replica began it.
@@ -54,12 +54,12 @@
         directory,
         pool,
         configuration,
-        known_crashes,
+        crash_tracker,
         count_begun,
         rng=None,
     ):
         self.count_begun = count_begun
-        self.crashes = known_crashes
+        self.crash_tracker = crash_tracker
         self._configuration = configuration
         self._dialect = dialect
         self._directory = directory
--- a/packages/gateway/anvilwell_gateway/live_calls.py
+++ b/packages/gateway/anvilwell_gateway/live_calls.py
@@ -1,7 +1,7 @@
 """The live calls of an entry: who may send them, and their way."""
 
 from anvilwell_gateway import callers
-from anvilwell_gateway import crashes
+from anvilwell_gateway import crash_tracker
 from anvilwell_gateway.duties import reports
 from anvilwell_gateway import forwarding
 
@@ -28,14 +28,14 @@
             fleet.presence,
             settings.organisations,
         )
-        self.crashes = crashes.Crashes(
+        self.crash_tracker = crash_tracker.CrashTracker(
             fleet.store,
             fleet.directory,
             fleet.vm_id,
             fleet.news,
         )
-        fleet.news.pass_on(crashes.PREFIX, self.crashes)
-        fleet.news.listen_entries(self.crashes.entries_changed)
+        fleet.news.pass_on(crash_tracker.PREFIX, self.crash_tracker)
+        fleet.news.listen_entries(self.crash_tracker.entries_changed)
         self.usage = reports.build(
             settings, platform, fleet.presence, fleet.news
         )
@@ -44,7 +44,7 @@
             fleet.directory,
             pool,
             fleet.configuration,
-            self.crashes,
+            self.crash_tracker,
             self.usage.began,
         )
 
@@ -53,8 +53,8 @@
         """Return what the settings ask for; peers tell it by `peering`."""
         live_calls = cls(settings, platform, fleet, pool)
         peering.handle(reports.TARGET, live_calls.usage.answer)
-        for target in crashes.TARGETS:
-            peering.handle(target, live_calls.crashes.answer)
+        for target in crash_tracker.TARGETS:
+            peering.handle(target, live_calls.crash_tracker.answer)
         return live_calls
 
     async def answer(self, route, call, request, responder):
@@ -70,9 +70,9 @@
 
     async def stop(self):
         """Tell and report no more."""
-        await self.crashes.stop()
+        await self.crash_tracker.stop()
         await self.usage.stop()
 
     def gauge_values(self):
         """Return each `measures.GaugeValue` as of now."""
-        return [*self.crashes.gauge_values(), *self.usage.gauge_values()]
+        return [*self.crash_tracker.gauge_values(), *self.usage.gauge_values()]
--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -81,7 +81,7 @@
         self._tasks = set()
 
     @contextlib.asynccontextmanager
-    async def tried(self, fingerprint):
+    async def trial(self, fingerprint):
         """Give how long a request must wait, 0 if it may be tried now."""
         trier = f"{self._vm_id}/{next(self._numbers)}"
         granted = []
--- a/packages/gateway/tests/test_catching_up.py
+++ b/packages/gateway/tests/test_catching_up.py
@@ -7,11 +7,11 @@
 
 from anvilwell_decisions.requests import quarantine as quarantines
 from anvilwell_gateway import catching_up
-from anvilwell_gateway import ends
+from anvilwell_gateway import crash_notifier
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import messages
 
-KNOWN = quarantines.Known("f1", ("r1", "r2"), 3.0)
+KNOWN = quarantines.KnownCrashes("f1", ("r1", "r2"), 3.0)
 
 
 class _Pool:
@@ -51,10 +51,13 @@
         await asyncio.sleep(60.0)
         assert not taken
         pool.silent = set()
-        await asyncio.sleep(ends.RETRIES_S[-1] + 0.1)
+        await asyncio.sleep(crash_notifier.RETRY_DELAYS_S[-1] + 0.1)
         assert taken == [KNOWN] * catching_up.ENOUGH
         asked = len(pool.asked)
-        rounds = len(ends.RETRIES_S) + 65.0 / ends.RETRIES_S[-1]
+        rounds = (
+            len(crash_notifier.RETRY_DELAYS_S)
+            + 65.0 / crash_notifier.RETRY_DELAYS_S[-1]
+        )
         assert asked <= catching_up.ENOUGH * rounds
         catch_up.entries_changed()
         await asyncio.sleep(60.0)
--- a/packages/gateway/tests/test_ends.py
+++ b/packages/gateway/tests/test_crash_notifier.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from anvilwell_gateway import ends
+from anvilwell_gateway import crash_notifier
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import messages
 
-END = ends.End("r1@5", ("f1",))
-LATER = ends.End("r2@5", ("f1", "f2"))
+CRASH = crash_notifier.Crash("r1@5", ("f1",))
+LATER_CRASH = crash_notifier.Crash("r2@5", ("f1", "f2"))
 
 
 class _Pool:
@@ -25,7 +25,7 @@
         if self.failures:
             self.failures -= 1
             raise client.failed("no answer")
-        self.told.append((key, ends.read(question.body)))
+        self.told.append((key, crash_notifier.read(question.body)))
         return messages.Reply(200, ()), b""
 
     def close(self):
@@ -34,21 +34,21 @@
 
 @pytest.fixture
 def play(run_virtual, monkeypatch):
-    """Return what runs a scenario with a teller and its peers."""
+    """Return what runs a scenario with a notifier and its peers."""
 
     def run(scenario):
         async def body():
             pool = _Pool()
-            monkeypatch.setattr(ends.client, "Pool", lambda *_: pool)
+            monkeypatch.setattr(crash_notifier.client, "Pool", lambda *_: pool)
             news = types.SimpleNamespace(
                 addresses_by_vm={"entry-1": "a:1", "entry-2": "a:2"},
                 lives_by_vm={"entry-1": "one", "entry-2": "two"},
             )
-            teller = ends.Teller("entry-1", news)
+            notifier = crash_notifier.CrashNotifier("entry-1", news)
             try:
-                await scenario(teller, pool, news)
+                await scenario(notifier, pool, news)
             finally:
-                await teller.stop()
+                await notifier.stop()
 
         run_virtual(body())
 
@@ -56,15 +56,15 @@
 
 
 def test_the_others_are_told_at_once_and_what_comes_meanwhile_after(play):
-    async def scenario(teller, pool, news):
+    async def scenario(notifier, pool, news):
         news.addresses_by_vm["entry-3"] = "a:3"
-        teller.tell(END)
+        notifier.notify(CRASH)
         await asyncio.sleep(0)
-        teller.tell(LATER)
+        notifier.notify(LATER_CRASH)
         await asyncio.sleep(0.01)
         for vm_id in ("entry-2", "entry-3"):
             told = [one for key, one in pool.told if key == vm_id]
-            assert told == [(END,), (LATER,)]
+            assert told == [(CRASH,), (LATER_CRASH,)]
         assert "entry-1" not in dict(pool.told)
 
     play(scenario)
@@ -73,22 +73,22 @@
 def test_an_entry_that_is_heard_of_after_an_end_is_told_of_it(play):
     """Else it lets the same request end two replicas of its own."""
 
-    async def scenario(teller, pool, news):
-        teller.tell(END)
+    async def scenario(notifier, pool, news):
+        notifier.notify(CRASH)
         await asyncio.sleep(60.0)
         news.addresses_by_vm["entry-3"] = "a:3"
         news.lives_by_vm["entry-2"] = "another"
-        teller.entries_changed()
+        notifier.entries_changed()
         await asyncio.sleep(0.01)
         assert pool.told == [
-            ("entry-2", (END,)),
-            ("entry-2", (END,)),
-            ("entry-3", (END,)),
+            ("entry-2", (CRASH,)),
+            ("entry-2", (CRASH,)),
+            ("entry-3", (CRASH,)),
         ]
-        teller.entries_changed()
+        notifier.entries_changed()
         await asyncio.sleep(3600.0)
         news.addresses_by_vm["entry-4"] = "a:4"
-        teller.entries_changed()
+        notifier.entries_changed()
         await asyncio.sleep(0.01)
         assert len(pool.told) == 3
 
@@ -96,11 +96,11 @@
 
 
 def test_an_entry_is_told_again_that_did_not_answer(play):
-    async def scenario(teller, pool, news):
-        pool.failures = len(ends.RETRIES_S)
-        teller.tell(END)
-        await asyncio.sleep(sum(ends.RETRIES_S) + 0.1)
-        assert pool.told == [("entry-2", (END,))]
+    async def scenario(notifier, pool, news):
+        pool.failures = len(crash_notifier.RETRY_DELAYS_S)
+        notifier.notify(CRASH)
+        await asyncio.sleep(sum(crash_notifier.RETRY_DELAYS_S) + 0.1)
+        assert pool.told == [("entry-2", (CRASH,))]
 
     play(scenario)
 
@@ -108,36 +108,40 @@
 def test_an_entry_that_stays_silent_is_told_once_it_answers(play):
     """Cut off from one witness for minutes, it took callers all the same."""
 
-    async def scenario(teller, pool, news):
+    async def scenario(notifier, pool, news):
         pool.failures = 100
-        teller.tell(END)
+        notifier.notify(CRASH)
         await asyncio.sleep(300.0)
         failures = 100 - pool.failures
-        assert failures <= len(ends.RETRIES_S) + 300.0 / ends.RETRIES_S[-1]
+        assert (
+            failures
+            <= len(crash_notifier.RETRY_DELAYS_S)
+            + 300.0 / crash_notifier.RETRY_DELAYS_S[-1]
+        )
         assert pool.told == []
         pool.failures = 0
-        await asyncio.sleep(ends.RETRIES_S[-1] + 0.01)
-        assert pool.told == [("entry-2", (END,))]
+        await asyncio.sleep(crash_notifier.RETRY_DELAYS_S[-1] + 0.01)
+        assert pool.told == [("entry-2", (CRASH,))]
 
     play(scenario)
 
 
 def test_an_entry_that_stays_silent_is_given_up_once_an_end_is_old(play):
-    async def scenario(teller, pool, news):
+    async def scenario(notifier, pool, news):
         pool.failures = 1 << 20
-        teller.tell(END)
+        notifier.notify(CRASH)
         await asyncio.sleep(3600.0)
         pool.failures = 0
-        teller.tell(LATER)
+        notifier.notify(LATER_CRASH)
         await asyncio.sleep(0.01)
-        assert pool.told == [("entry-2", (LATER,))]
+        assert pool.told == [("entry-2", (LATER_CRASH,))]
 
     play(scenario)
 
 
 def test_an_entry_that_has_gone_is_not_asked(play):
-    async def scenario(teller, pool, news):
-        teller.tell(END)
+    async def scenario(notifier, pool, news):
+        notifier.notify(CRASH)
         del news.addresses_by_vm["entry-2"]
         await asyncio.sleep(3600.0)
         assert pool.told == []
@@ -146,13 +150,16 @@
 
 
 def test_what_waits_for_one_entry_is_bounded(play):
-    async def scenario(teller, pool, news):
+    async def scenario(notifier, pool, news):
         pool.failures = 1
-        for number in range(2 * ends.MOST_UNTOLD):
-            teller.tell(ends.End(f"r{number}", ("f1",)))
+        for number in range(2 * crash_notifier.MAX_PENDING_CRASHES):
+            notifier.notify(crash_notifier.Crash(f"r{number}", ("f1",)))
         await asyncio.sleep(1.0)
         (told,) = [told for _, told in pool.told]
-        assert len(told) == ends.MOST_UNTOLD
-        assert told[-1].replica_id == f"r{2 * ends.MOST_UNTOLD - 1}"
+        assert len(told) == crash_notifier.MAX_PENDING_CRASHES
+        assert (
+            told[-1].replica_id
+            == f"r{2 * crash_notifier.MAX_PENDING_CRASHES - 1}"
+        )
 
     play(scenario)
--- a/packages/gateway/tests/test_crashes.py
+++ b/packages/gateway/tests/test_crash_tracker.py
@@ -7,15 +7,15 @@
 import pytest
 
 from anvilwell_decisions.requests import quarantine as quarantines
-from anvilwell_gateway import crashes
+from anvilwell_gateway import crash_notifier
+from anvilwell_gateway import crash_tracker
 from anvilwell_gateway import directory as directories
-from anvilwell_gateway import ends
 from anvilwell_gateway.http import client
 from anvilwell_kernel import exceptions
 from anvilwell_outside.ports import keyvalue
 
 REPLICA = types.SimpleNamespace(replica_id="r1@5", address=None)
-KEY = crashes.own_key("r1@5", "entry-1")
+KEY = crash_tracker.own_key("r1@5", "entry-1")
 
 
 class _Directory:
@@ -75,7 +75,7 @@
             raise exceptions.KeyValueUnavailable("no answer")
         return keyvalue.SwapResult(True, self.revision, {})
 
-    def told(self, key=KEY):
+    def written(self, key=KEY):
         return cbor2.loads(self.entries_by_key[key].value)[1]
 
 
@@ -94,18 +94,20 @@
             raise client.failed("no connection") from cause
 
         if refuses_after_s is None:
-            monkeypatch.setattr(crashes, "_refuses", look)
+            monkeypatch.setattr(crash_tracker, "_refuses_connections", look)
         else:
             monkeypatch.setattr(client.Connection, "open", open_)
 
         async def body():
             store, directory = _Store(), _Directory()
             alone = types.SimpleNamespace(addresses_by_vm={})
-            known = crashes.Crashes(store, directory, "entry-1", alone)
+            tracker = crash_tracker.CrashTracker(
+                store, directory, "entry-1", alone
+            )
             try:
-                await scenario(known, store, directory)
+                await scenario(tracker, store, directory)
             finally:
-                await known.stop()
+                await tracker.stop()
 
         run_virtual(body())
 
@@ -113,22 +115,22 @@
 
 
 def test_an_end_is_told_under_a_lease_that_outlasts_it(play):
-    async def scenario(known, store, directory):
-        await known.cut("f1", REPLICA)
-        await known.cut("f2", REPLICA)
+    async def scenario(tracker, store, directory):
+        await tracker.note_cut("f1", REPLICA)
+        await tracker.note_cut("f2", REPLICA)
         await asyncio.sleep(1.0)
-        assert store.told() == ["f1", "f2"]
+        assert store.written() == ["f1", "f2"]
         assert store.leases == [quarantines.LONG_PAUSE_S]
 
     play(scenario)
 
 
 def test_a_replica_that_still_listens_counts_only_once_it_is_gone(play):
-    async def scenario(known, store, directory):
-        await known.cut("f1", REPLICA)
-        assert not known.is_suspect("f1")
+    async def scenario(tracker, store, directory):
+        await tracker.note_cut("f1", REPLICA)
+        assert not tracker.is_suspect("f1")
         directory.lose()
-        assert known.is_suspect("f1")
+        assert tracker.is_suspect("f1")
 
     play(scenario, refuses=False)
 
@@ -136,70 +138,70 @@
 def test_a_replica_that_refuses_late_counts_all_the_same(play):
     """On a busy VM an end passed for a cut, as the look took too long."""
 
-    async def scenario(known, store, directory):
+    async def scenario(tracker, store, directory):
         began_at = asyncio.get_running_loop().time()
-        await known.cut("f1", REPLICA)
+        await tracker.note_cut("f1", REPLICA)
         took_s = asyncio.get_running_loop().time() - began_at
-        assert took_s == pytest.approx(crashes.LOOK_S)
-        assert not known.is_suspect("f1")
-        await asyncio.sleep(crashes.LOOK_S)
-        assert known.is_suspect("f1")
+        assert took_s == pytest.approx(crash_tracker.CRASH_CHECK_WAIT_S)
+        assert not tracker.is_suspect("f1")
+        await asyncio.sleep(crash_tracker.CRASH_CHECK_WAIT_S)
+        assert tracker.is_suspect("f1")
         await asyncio.sleep(1.0)
-        assert store.told() == ["f1"]
+        assert store.written() == ["f1"]
 
-    play(scenario, refuses_after_s=1.5 * crashes.LOOK_S)
+    play(scenario, refuses_after_s=1.5 * crash_tracker.CRASH_CHECK_WAIT_S)
 
 
 @pytest.mark.parametrize("fault", ["down", "lost", "lease"])
 def test_an_end_is_told_once_the_store_takes_it(play, fault):
-    async def scenario(known, store, directory):
+    async def scenario(tracker, store, directory):
         store.faults = [fault] * 30
-        await known.cut("f1", REPLICA)
+        await tracker.note_cut("f1", REPLICA)
         await asyncio.sleep(60.0)
-        assert store.told() == ["f1"]
-        assert not known._untold_by_replica
+        assert store.written() == ["f1"]
+        assert not tracker._unwritten_by_replica
 
     play(scenario)
 
 
 def test_what_shows_after_a_write_is_added_to_it(play):
-    async def scenario(known, store, directory):
-        await known.cut("f1", REPLICA)
+    async def scenario(tracker, store, directory):
+        await tracker.note_cut("f1", REPLICA)
         await asyncio.sleep(1.0)
-        await known.cut("f2", REPLICA)
+        await tracker.note_cut("f2", REPLICA)
         await asyncio.sleep(1.0)
-        assert store.told() == ["f1", "f2"]
+        assert store.written() == ["f1", "f2"]
 
     play(scenario)
 
 
 def test_what_others_tell_holds_a_request_back_here(play):
-    async def scenario(known, store, directory):
+    async def scenario(tracker, store, directory):
         for replica_id, vm_id in (("r0", "entry-2"), ("r1", "entry-3")):
-            key = crashes.own_key(replica_id, vm_id)
+            key = crash_tracker.own_key(replica_id, vm_id)
             value = cbor2.dumps([replica_id, ["f1"]])
-            known.change(keyvalue.Change(key, value, 9))
-            known.change(keyvalue.Change(key, None, 10))
-        assert known.wait_s("f1") == quarantines.SHORT_PAUSE_S
+            tracker.change(keyvalue.Change(key, value, 9))
+            tracker.change(keyvalue.Change(key, None, 10))
+        assert tracker.wait_s("f1") == quarantines.SHORT_PAUSE_S
         value = cbor2.dumps(["r7", ["f1"]])
-        entry = keyvalue.Entry(crashes.own_key("r7", "e"), value, 3)
-        known.load({entry.key: entry})
-        assert known.wait_s("f1") == quarantines.LONG_PAUSE_S
+        entry = keyvalue.Entry(crash_tracker.own_key("r7", "e"), value, 3)
+        tracker.load({entry.key: entry})
+        assert tracker.wait_s("f1") == quarantines.LONG_PAUSE_S
 
     play(scenario)
 
 
 def test_what_is_told_directly_counts_as_if_the_store_told_it(play):
-    async def scenario(known, store, directory):
+    async def scenario(tracker, store, directory):
         told = [("r0", ("f1",)), ("r1", ("f1",))]
         request = types.SimpleNamespace(
-            path=ends.TARGET, body=cbor2.dumps(told)
+            path=crash_notifier.TARGET, body=cbor2.dumps(told)
         )
         for _ in range(2):
-            await known.answer(request, _Responder())
+            await tracker.answer(request, _Responder())
         value = cbor2.dumps(["r0", ["f1"]])
-        known.change(keyvalue.Change(KEY, value, 9))
-        assert known.wait_s("f1") == quarantines.SHORT_PAUSE_S
+        tracker.change(keyvalue.Change(KEY, value, 9))
+        assert tracker.wait_s("f1") == quarantines.SHORT_PAUSE_S
         await asyncio.sleep(1.0)
         assert not store.entries_by_key
 
@@ -207,9 +209,9 @@
 
 
 def test_a_pause_does_not_begin_anew_at_an_entry_that_starts(play):
-    async def scenario(known, store, directory):
-        known._catch(quarantines.Known("f1", ("r1", "r2"), 3.0))
-        assert known.wait_s("f1") == quarantines.SHORT_PAUSE_S - 3.0
+    async def scenario(tracker, store, directory):
+        tracker._learn_known(quarantines.KnownCrashes("f1", ("r1", "r2"), 3.0))
+        assert tracker.wait_s("f1") == quarantines.SHORT_PAUSE_S - 3.0
 
     play(scenario)
 
@@ -218,15 +220,15 @@
     "value", [b"", b"\xff", cbor2.dumps({"a": 1}), cbor2.dumps(["r", [7]])]
 )
 def test_what_can_not_be_understood_is_left_out(play, value):
-    async def scenario(known, store, directory):
-        known.change(keyvalue.Change(KEY, value, 9))
-        assert known.is_empty
+    async def scenario(tracker, store, directory):
+        tracker.change(keyvalue.Change(KEY, value, 9))
+        assert tracker.is_empty
 
     play(scenario)
 
 
 def test_keys_are_short_however_long_an_id_is():
-    one = crashes.own_key("r" * 180, "vm" * 90)
+    one = crash_tracker.own_key("r" * 180, "vm" * 90)
 
     assert len(one) < 100
-    assert one != crashes.own_key("r" * 180, "vm" * 91)
+    assert one != crash_tracker.own_key("r" * 180, "vm" * 91)
--- a/packages/gateway/tests/test_trials.py
+++ b/packages/gateway/tests/test_trials.py
@@ -72,13 +72,13 @@
 @pytest.mark.parametrize("first", [DECIDER, OTHERS[0]])
 def test_one_entry_tries_and_the_others_wait_until_it_is_done(play, first):
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
-        async with trials_by_vm[first].tried("f") as wait_s:
+        async with trials_by_vm[first].trial("f") as wait_s:
             assert wait_s == 0
             for vm_id in ADDRESSES_BY_VM:
-                async with trials_by_vm[vm_id].tried("f") as wait_s:
+                async with trials_by_vm[vm_id].trial("f") as wait_s:
                     assert wait_s == decisions.RETRY_S
         await asyncio.sleep(0.01)
-        async with trials_by_vm[OTHERS[1]].tried("f") as wait_s:
+        async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s == 0
 
     play(scenario)
@@ -88,15 +88,15 @@
     """Its successor knew of no trial and had the request tried twice."""
 
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
-        async with trials_by_vm[OTHERS[0]].tried("f") as wait_s:
+        async with trials_by_vm[OTHERS[0]].trial("f") as wait_s:
             assert wait_s == 0
             for news in pool.news_by_vm.values():
                 del news.addresses_by_vm[DECIDER]
             for vm_id in OTHERS[1:]:
-                async with trials_by_vm[vm_id].tried("f") as wait_s:
+                async with trials_by_vm[vm_id].trial("f") as wait_s:
                     assert wait_s == decisions.RETRY_S
         await asyncio.sleep(0.01)
-        async with trials_by_vm[OTHERS[1]].tried("f") as wait_s:
+        async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s == 0
 
     play(scenario)
@@ -120,7 +120,7 @@
 
 async def _wait_s(one, took_s):
     """Return how long an entry must wait to try, or try for `took_s`."""
-    async with one.tried("f") as wait_s:
+    async with one.trial("f") as wait_s:
         if not wait_s:
             await asyncio.sleep(took_s)
         return wait_s
@@ -128,11 +128,11 @@
 
 def test_what_a_trial_ended_is_known_before_the_next_one(play):
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
-        async with trials_by_vm[OTHERS[0]].tried("f"):
+        async with trials_by_vm[OTHERS[0]].trial("f"):
             now = asyncio.get_running_loop().time()
             quarantine_by_vm[OTHERS[0]].learn("f", ["r3"], now)
         await asyncio.sleep(0.01)
-        async with trials_by_vm[OTHERS[1]].tried("f") as wait_s:
+        async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s > PAUSE_S
 
     play(scenario)
@@ -141,10 +141,10 @@
 def test_an_entry_that_can_not_ask_does_not_try(play):
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
         pool.is_cut = True
-        async with trials_by_vm[OTHERS[0]].tried("f") as wait_s:
+        async with trials_by_vm[OTHERS[0]].trial("f") as wait_s:
             assert wait_s == decisions.RETRY_S
         pool.is_cut = False
-        async with trials_by_vm[OTHERS[1]].tried("f") as wait_s:
+        async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s == 0
 
     play(scenario)
