--- a/packages/decisions/anvilwell_decisions/requests/buffers.py
+++ b/packages/decisions/anvilwell_decisions/requests/byte_budget.py
@@ -1,7 +1,7 @@
 """Bytes that a VM may hold for others, and what is refused beyond."""
 
 # Programs and what they know take the rest of a VM's memory.
-HELD_SHARE = 0.2
+MEMORY_SHARE = 0.2
 # A page takes this part of what is left at most, so that another caller
 # who reads as slowly still gets one.
 PAGE_SHARE = 0.125
@@ -9,7 +9,7 @@
 DEFAULT_BYTES = 32 << 20
 
 
-class Budget:
+class ByteBudget:
     """Counts what is held: bodies that came, answers that are not read.
 
     A budget that is used up refuses what has not run; answers that are
@@ -21,37 +21,37 @@
         Bytes that may be held.
     """
 
-    def __init__(self, total=DEFAULT_BYTES):
-        self.total = total
-        self.held = 0
+    def __init__(self, total_bytes=DEFAULT_BYTES):
+        self.total_bytes = total_bytes
+        self.held_bytes = 0
 
     @classmethod
     def from_memory(cls, memory_mb):
         """Return the budget of a VM with so much memory, 0 if unknown."""
         if not memory_mb:
             return cls()
-        return cls(int(HELD_SHARE * memory_mb * 1e6))
+        return cls(int(MEMORY_SHARE * memory_mb * 1e6))
 
     @property
-    def room(self):
+    def free_bytes(self):
         """How many bytes more may be held."""
-        return max(0, self.total - self.held)
+        return max(0, self.total_bytes - self.held_bytes)
 
-    def take(self, count):
+    def try_hold(self, byte_count):
         """Hold `count` bytes if they fit; return whether they do."""
-        if count > self.room:
+        if byte_count > self.free_bytes:
             return False
-        self.held += count
+        self.held_bytes += byte_count
         return True
 
-    def hold(self, count):
+    def hold(self, byte_count):
         """Hold `count` bytes of an answer that is there already."""
-        self.held += count
+        self.held_bytes += byte_count
 
-    def give(self, count):
+    def release(self, byte_count):
         """Hold `count` bytes no more."""
-        self.held -= count
+        self.held_bytes -= byte_count
 
-    def page_bytes(self, most):
+    def page_bytes(self, max_bytes):
         """Return how many bytes a page may have that could have `most`."""
-        return min(most, int(PAGE_SHARE * self.room))
+        return min(max_bytes, int(PAGE_SHARE * self.free_bytes))
--- a/packages/decisions/anvilwell_decisions/requests/precedence.py
+++ b/packages/decisions/anvilwell_decisions/requests/priority_weights.py
@@ -2,29 +2,29 @@
 
 # Each rank below the highest one gets so much of what the rank above it
 # gets, when both want more than there is.
-STEP = 0.5
+WEIGHT_STEP = 0.5
 # No rank gets less than this part of the highest one's: a quarter of the
 # service of all is the least that anybody is promised.
-LEAST_WEIGHT = 0.25
-HIGHEST = 1.0
+MIN_WEIGHT = 0.25
+MAX_WEIGHT = 1.0
 
 
-def weight(priority, highest):
+def weight(priority, highest_priority):
     """Return the weight of a priority beside the `highest` one in force.
 
     Lower numbers rank higher. A priority that is above the highest one, as
     of another version of the configuration, counts as that.
     """
-    ranks_below = max(0, priority - highest)
-    return max(LEAST_WEIGHT, HIGHEST * STEP**ranks_below)
+    ranks_below = max(0, priority - highest_priority)
+    return max(MIN_WEIGHT, MAX_WEIGHT * WEIGHT_STEP**ranks_below)
 
 
-def highest(configuration):
+def highest_priority(configuration):
     """Return the highest priority that a `facts.Configuration` gives."""
-    given = [route.priority for route in configuration.routes]
-    given += [
-        one.priority
-        for one in configuration.organisations
-        if one.priority is not None
+    priorities = [route.priority for route in configuration.routes]
+    priorities += [
+        organisation.priority
+        for organisation in configuration.organisations
+        if organisation.priority is not None
     ]
-    return min(given, default=0)
+    return min(priorities, default=0)
--- a/packages/decisions/tests/requests/overload_world.py
+++ b/packages/decisions/tests/requests/overload_world.py
@@ -39,7 +39,7 @@
         pass
 
 
-class ConstantWait:
+class ConstantRetryAfter:
     """What stands where returns are not spread: all wait for as long."""
 
     def answered(self, now):
@@ -107,7 +107,7 @@
         make_shares,
         seed=1,
         make_policy=routing.LeastOutstanding,
-        make_returns=ConstantWait,
+        make_schedule=ConstantRetryAfter,
     ):
         self._load = load
         self._make_policy = make_policy
@@ -117,7 +117,7 @@
         self.now = 0.0
         self.shares = [make_shares() for _ in range(load.entries)]
         self._policies = [self._policy(seed + i) for i in range(load.entries)]
-        self._returns = [make_returns() for _ in range(load.entries)]
+        self._schedules = [make_schedule() for _ in range(load.entries)]
         self._running = [0] * load.replicas
         self._waiting = [collections.deque() for _ in range(load.replicas)]
         self.asked = collections.Counter()
@@ -171,9 +171,9 @@
 
     def _refuse(self, call):
         if call.tries < CALLERS_RETRIES:
-            returns = self._returns[call.entry]
+            schedule = self._schedules[call.entry]
             left_s = call.came_at + self._load.limit_s - self.now
-            wait_s = returns.wait_s(self.now, left_s)
+            wait_s = schedule.wait_s(self.now, left_s)
             wait_s *= self._rng.uniform(1.0, 1.4)
             self._later(
                 wait_s,
@@ -242,6 +242,6 @@
         )
         self.times_s.append(took_s)
         self.shares[call.entry].end(call.organisation, True)
-        self._returns[call.entry].answered(self.now)
+        self._schedules[call.entry].answered(self.now)
         self.answered[call.organisation] += 1
         self.in_time[call.organisation] += took_s <= self._load.aim_s
--- a/packages/decisions/tests/requests/test_buffers.py
+++ b/packages/decisions/tests/requests/test_byte_budget.py
@@ -3,7 +3,7 @@
 The load: two hundred trainers that ask for long pages and read none.
 """
 
-from anvilwell_decisions.requests import buffers
+from anvilwell_decisions.requests import byte_budget
 
 READERS = 200
 PAGE_BYTES = 900 << 10
@@ -12,27 +12,30 @@
 
 
 def test_two_hundred_slow_readers_fit_into_a_small_vm():
-    budget = buffers.Budget.from_memory(SMALL_VM_MB)
+    budget = byte_budget.ByteBudget.from_memory(SMALL_VM_MB)
     pages = []
     for _ in range(READERS):
         # One result at least, however little is left.
         pages.append(max(RESULT_BYTES, budget.page_bytes(PAGE_BYTES)))
         budget.hold(pages[-1])
 
-    assert budget.held < 2 * buffers.HELD_SHARE * SMALL_VM_MB * 1e6
+    assert budget.held_bytes < 2 * byte_budget.MEMORY_SHARE * SMALL_VM_MB * 1e6
     assert pages[0] == PAGE_BYTES
 
 
 def test_what_has_not_run_is_refused_first():
-    budget = buffers.Budget(100)
-    assert budget.take(60)
-    assert not budget.take(50)
+    budget = byte_budget.ByteBudget(100)
+    assert budget.try_hold(60)
+    assert not budget.try_hold(50)
     budget.hold(50)
-    assert budget.room == 0
-    assert not budget.take(1)
-    budget.give(60)
-    assert budget.take(50)
+    assert budget.free_bytes == 0
+    assert not budget.try_hold(1)
+    budget.release(60)
+    assert budget.try_hold(50)
 
 
 def test_a_vm_that_tells_no_memory_has_a_budget():
-    assert buffers.Budget.from_memory(0).total == buffers.DEFAULT_BYTES
+    assert (
+        byte_budget.ByteBudget.from_memory(0).total_bytes
+        == byte_budget.DEFAULT_BYTES
+    )
--- a/packages/decisions/tests/requests/test_shares.py
+++ b/packages/decisions/tests/requests/test_fair_shares.py
@@ -9,8 +9,8 @@
 import overload_world as worlds
 import pytest
 
-from anvilwell_decisions.requests import precedence
-from anvilwell_decisions.requests import shares
+from anvilwell_decisions.requests import fair_shares
+from anvilwell_decisions.requests import priority_weights
 
 LARGE, SMALL = "large", "small"
 
@@ -23,7 +23,7 @@
     return worlds.Load(rates, entries=entries)
 
 
-def _play(load, make_shares=shares.Shares):
+def _play(load, make_shares=fair_shares.FairShares):
     return worlds.World(load, make_shares).play()
 
 
@@ -68,69 +68,69 @@
     played = _play(_load(0.5))
 
     assert not played.refused
-    assert all(kept.limit is None for kept in played.shares)
+    assert all(fair.limit is None for fair in played.shares)
 
 
 def test_a_replica_that_refuses_without_cause_is_no_shortage():
-    kept = shares.Shares()
+    fair = fair_shares.FairShares()
     for number in range(20):
-        assert kept.begin("a", 0.0)
-        kept.refused("r1", 3, 0.01 * number)
+        assert fair.begin("a", 0.0)
+        fair.refused("r1", 3, 0.01 * number)
 
-    assert kept.limit is None
+    assert fair.limit is None
 
 
 def test_refusals_long_apart_are_no_shortage():
-    kept = shares.Shares()
-    kept.begin("a", 0.0)
-    kept.refused("r1", 3, 0.0)
-    kept.refused("r2", 3, shares.REFUSAL_MEMORY_S)
+    fair = fair_shares.FairShares()
+    fair.begin("a", 0.0)
+    fair.refused("r1", 3, 0.0)
+    fair.refused("r2", 3, fair_shares.REFUSAL_TTL_S)
 
-    assert kept.limit is None
+    assert fair.limit is None
 
 
 def test_a_limit_that_keeps_nobody_back_is_dropped():
-    kept = _short(["a", "a", "a", "b"])
+    fair = _overloaded(["a", "a", "a", "b"])
 
-    assert not kept.begin("a", 0.1)
-    later = 0.1 + shares.LIMIT_MEMORY_S
-    assert not kept.begin("a", later - 0.01)
-    assert kept.begin("a", later + shares.LIMIT_MEMORY_S)
-    assert kept.limit is None
+    assert not fair.begin("a", 0.1)
+    later = 0.1 + fair_shares.LIMIT_TTL_S
+    assert not fair.begin("a", later - 0.01)
+    assert fair.begin("a", later + fair_shares.LIMIT_TTL_S)
+    assert fair.limit is None
 
 
 def test_who_has_nothing_under_way_is_let_in():
-    kept = _short(["a", "a", "a", "a"])
+    fair = _overloaded(["a", "a", "a", "a"])
 
-    assert kept.begin("b", 0.1)
-    assert not kept.begin("b", 0.1)
+    assert fair.begin("b", 0.1)
+    assert not fair.begin("b", 0.1)
 
 
 def test_only_organisations_with_calls_under_way_are_remembered():
-    kept = _short(["a", "b"])
+    fair = _overloaded(["a", "b"])
     for organisation in ("a", "b"):
-        kept.end(organisation, True)
+        fair.end(organisation, True)
 
-    assert kept.total == 0
-    assert not kept._under_way
+    assert fair.total == 0
+    assert not fair._in_flight_by_organisation
 
 
-def _short(organisations):
+def _overloaded(organisations):
     """Return the shares of a service that just became short."""
-    kept = shares.Shares()
+    fair = fair_shares.FairShares()
     for organisation in organisations:
-        kept.begin(organisation, 0.0)
+        fair.begin(organisation, 0.0)
     for replica in ("r1", "r2"):
-        kept.refused(replica, 3, 0.0)
-    assert kept.limit
-    return kept
+        fair.refused(replica, 3, 0.0)
+    assert fair.limit
+    return fair
 
 
 @pytest.mark.parametrize("entries", [1, 3, 20])
 def test_ranks_share_by_weight_and_none_starves(entries):
     capacity = worlds.Load({}).capacity
     weights = {
-        name: precedence.weight(priority, 0)
+        name: priority_weights.weight(priority, 0)
         for priority, name in enumerate(("first", "second", "third"))
     }
     load = worlds.Load(
@@ -138,11 +138,11 @@
         entries=entries,
         weights_by_organisation=weights,
     )
-    played = worlds.World(load, shares.Shares).play()
+    played = worlds.World(load, fair_shares.FairShares).play()
 
     first, second, third = (
         played.answered[name] / played.asked[name] for name in weights
     )
     assert first > second > third
     of_all = played.answered.total() / played.asked.total()
-    assert third > precedence.LEAST_WEIGHT * of_all
+    assert third > priority_weights.MIN_WEIGHT * of_all
--- a/packages/decisions/tests/requests/test_precedence.py
+++ b/packages/decisions/tests/requests/test_priority_weights.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from anvilwell_decisions.requests import precedence
+from anvilwell_decisions.requests import priority_weights
 from anvilwell_decisions.traffic import facts
 
 
@@ -13,7 +13,7 @@
 def test_a_rank_below_weighs_half_and_a_quarter_at_least(
     priority, highest, weight
 ):
-    assert precedence.weight(priority, highest) == weight
+    assert priority_weights.weight(priority, highest) == weight
 
 
 def test_the_highest_priority_is_a_route_s_or_an_organisation_s():
@@ -23,6 +23,6 @@
         facts.Organisation("b", (), priority=2),
     )
     configuration = facts.Configuration(1, (route,), {}, None, organisations)
-    assert precedence.highest(configuration) == 2
+    assert priority_weights.highest_priority(configuration) == 2
     bare = configuration._replace(organisations=())
-    assert precedence.highest(bare) == 3
+    assert priority_weights.highest_priority(bare) == 3
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from anvilwell_decisions.requests import buffers
+from anvilwell_decisions.requests import byte_budget
 from anvilwell_gateway.batches import service as batch_service
 from anvilwell_gateway import claims
 from anvilwell_gateway import fleet as fleets
@@ -42,7 +42,9 @@
     def __init__(self, settings, platform, early=None):
         self._early = early or listening.Early({})
         self._pool = client.Pool(asyncio.get_running_loop().time)
-        self._budget = buffers.Budget.from_memory(settings.daemon.memory_mb)
+        self._budget = byte_budget.ByteBudget.from_memory(
+            settings.daemon.memory_mb
+        )
         self.peering = peerings.Peering(settings.entry.peers, self._budget)
         self.fleet = fleets.Fleet.from_config(settings, platform, self.peering)
         self.live_calls = live.LiveCalls.from_config(
@@ -206,5 +208,5 @@
             *self._batches.holder.gauge_values(),
             *self._batches.sharing.gauge_values(),
             *self.live_calls.gauge_values(),
-            measures.GaugeValue("bytes_held", self._budget.held),
+            measures.GaugeValue("bytes_held", self._budget.held_bytes),
         ]
--- a/packages/gateway/anvilwell_gateway/forwarding.py
+++ b/packages/gateway/anvilwell_gateway/forwarding.py
@@ -7,7 +7,7 @@
 from anvilwell_decisions.requests import ejection
 from anvilwell_decisions.requests import expected_latency
 from anvilwell_decisions.requests import facts as request_facts
-from anvilwell_decisions.requests import returning
+from anvilwell_decisions.requests import retry_after
 from anvilwell_gateway import attempts
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import messages
@@ -66,7 +66,9 @@
         self._pool = pool
         self._rng = rng or random.Random()
         self._policies_by_service = {}
-        self._returns_by_service = collections.defaultdict(returning.Returns)
+        self._retry_schedules_by_service = collections.defaultdict(
+            retry_after.RetrySchedule
+        )
         self._sharing = sharing.Sharing(configuration, directory)
         directory.listen(self._replicas_changed)
 
@@ -152,13 +154,13 @@
         """Return when the caller of a refused request may come back."""
         if error.reason in _SHORT:
             now = asyncio.get_running_loop().time()
-            returns = self._returns_by_service[attempt.service]
-            return returns.wait_s(now, attempt.left_s)
-        return error.retry_after or returning.FIRST_S
+            schedule = self._retry_schedules_by_service[attempt.service]
+            return schedule.wait_s(now, attempt.left_s)
+        return error.retry_after or retry_after.MIN_WAIT_S
 
     def _answered(self, attempt, route, status):
         now = asyncio.get_running_loop().time()
-        self._returns_by_service[attempt.service].answered(now)
+        self._retry_schedules_by_service[attempt.service].answered(now)
         self._measure(attempt, route, status)
 
     @staticmethod
--- a/packages/gateway/anvilwell_gateway/http/server.py
+++ b/packages/gateway/anvilwell_gateway/http/server.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from anvilwell_decisions.requests import buffers
+from anvilwell_decisions.requests import byte_budget
 from anvilwell_decisions.traffic import facts
 import h11
 
@@ -85,10 +85,10 @@
                 part = data[start : start + WRITE_BYTES]
                 self._writer.write(self._conn.send(h11.Data(data=part)))
                 await self._writer.drain()
-                self._budget.give(len(part))
+                self._budget.release(len(part))
                 left -= len(part)
         finally:
-            self._budget.give(left)
+            self._budget.release(left)
 
     async def finish(self):
         """Send the end of the answer."""
@@ -110,7 +110,7 @@
         is cancelled if the caller closes its connection.
     listener : socket.socket, optional
         What listens there already.
-    budget : buffers.Budget, optional
+    budget : byte_budget.ByteBudget, optional
         What may be held for callers, here and wherever it is shared.
     """
 
@@ -119,7 +119,7 @@
         self._handle = handle
         self._socket = listener
         self._listener = None
-        self.budget = budget or buffers.Budget()
+        self.budget = budget or byte_budget.ByteBudget()
         self._connections = set()
         self.limits = FIRST_LIMITS
         # Whether each connection ends after the answer under way.
@@ -223,7 +223,7 @@
             status = error.error_status_hint or 400
             await self._refuse(status, str(error))
         finally:
-            self._server.budget.give(self._held_bytes)
+            self._server.budget.release(self._held_bytes)
 
     def end_idle(self):
         """End the wait for a request, unless one is being served."""
@@ -253,7 +253,7 @@
             await self._run(request)
         finally:
             self.is_serving = False
-            self._server.budget.give(self._held_bytes)
+            self._server.budget.release(self._held_bytes)
             self._held_bytes = 0
         return (
             self._conn.our_state is h11.DONE
@@ -305,7 +305,7 @@
                 size += len(event.data)
                 if size > self._server.limits.max_body_bytes:
                     return await self._refuse(413, "the body is too large")
-                if not self._server.budget.take(len(event.data)):
+                if not self._server.budget.try_hold(len(event.data)):
                     return await self._refuse(503, "too much is buffered")
                 self._held_bytes += len(event.data)
                 parts.append(bytes(event.data))
--- a/packages/gateway/anvilwell_gateway/sharing.py
+++ b/packages/gateway/anvilwell_gateway/sharing.py
@@ -4,8 +4,8 @@
 import collections
 import contextlib
 
-from anvilwell_decisions.requests import precedence
-from anvilwell_decisions.requests import shares
+from anvilwell_decisions.requests import fair_shares
+from anvilwell_decisions.requests import priority_weights
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
 from anvilwell_kernel.telemetry import logs
@@ -14,7 +14,7 @@
 
 
 class Sharing:
-    """Lets live calls in by the `shares.Shares` of their service.
+    """Lets live calls in by the `fair_shares.FairShares` of their service.
 
     Where the configuration knows no organisations nobody is kept back.
 
@@ -29,7 +29,9 @@
     def __init__(self, configuration, directory):
         self._configuration = configuration
         self._directory = directory
-        self._shares_by_service = collections.defaultdict(shares.Shares)
+        self._shares_by_service = collections.defaultdict(
+            fair_shares.FairShares
+        )
         # The configuration that the highest priority was found in.
         self._ranked = None
         self._highest = 0
@@ -39,8 +41,8 @@
         current = self._configuration.current
         if current is not self._ranked:
             self._ranked = current
-            self._highest = precedence.highest(current)
-        return precedence.weight(priority, self._highest)
+            self._highest = priority_weights.highest_priority(current)
+        return priority_weights.weight(priority, self._highest)
 
     @contextlib.contextmanager
     def place(self, attempt):
--- a/packages/gateway/tests/http/test_server.py
+++ b/packages/gateway/tests/http/test_server.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from anvilwell_decisions.requests import buffers
+from anvilwell_decisions.requests import byte_budget
 from anvilwell_gateway.http import server as servers
 from anvilwell_kernel.config import options
 
@@ -15,7 +15,7 @@
 
 def _run(scenario):
     async def run():
-        budget = buffers.Budget(len(ANSWER))
+        budget = byte_budget.ByteBudget(len(ANSWER))
 
         async def answer(request, responder):
             body = ANSWER if request.method == "GET" else b""
@@ -27,7 +27,7 @@
             await scenario(server, budget)
         finally:
             await server.stop()
-        assert budget.held == 0
+        assert budget.held_bytes == 0
 
     asyncio.run(run())
 
@@ -42,10 +42,10 @@
 def test_an_answer_counts_until_it_is_read():
     async def scenario(server, budget):
         reader, writer = await _ask(server, REQUEST)
-        while not budget.held:
+        while not budget.held_bytes:
             await asyncio.sleep(0.01)
         assert await reader.readexactly(len(ANSWER))
-        while budget.held:
+        while budget.held_bytes:
             await asyncio.sleep(0.01)
         writer.close()
 
@@ -54,10 +54,10 @@
 
 def test_new_bodies_are_refused_while_answers_are_not_read():
     async def scenario(server, budget):
-        budget.hold(budget.total)
+        budget.hold(budget.total_bytes)
         reader, writer = await _ask(server, POST)
         assert b" 503 " in await reader.readline()
-        budget.give(budget.total)
+        budget.release(budget.total_bytes)
         writer.close()
         reader, writer = await _ask(server, POST)
         assert b" 200 " in await reader.readline()
@@ -69,10 +69,10 @@
 def test_a_reader_that_leaves_holds_nothing():
     async def scenario(server, budget):
         _, writer = await _ask(server, REQUEST)
-        while not budget.held:
+        while not budget.held_bytes:
             await asyncio.sleep(0.01)
         writer.transport.abort()
-        while budget.held:
+        while budget.held_bytes:
             await asyncio.sleep(0.01)
 
     _run(scenario)
