--- a/packages/gateway/anvilwell_gateway/batches/records.py
+++ b/packages/gateway/anvilwell_gateway/batches/records.py
@@ -106,7 +106,7 @@
             for key, entry in snapshot.entries_by_key.items()
         }
 
-    async def accept(self, batch_id, owner, raw, timeout_s, refused_s):
+    async def accept(self, batch_id, owner, raw, timeout_s, refusal_timeout_s):
         """Write a new batch whole; return the `Claimed` that is there.
 
         It is another's if that was accepted before. The times are those
@@ -132,7 +132,7 @@
             for number, part in enumerate(parts)
         ]
         result = await stores.swap_until_known(
-            self._store, swaps, timeout_s, refused_s
+            self._store, swaps, timeout_s, refusal_timeout_s
         )
         if result.landed:
             return Claimed(owner, result.revision)
--- a/packages/gateway/anvilwell_gateway/store.py
+++ b/packages/gateway/anvilwell_gateway/store.py
@@ -11,11 +11,11 @@
 # A call that has waited for longer when the store answers another one after
 # an outage was lost with it. Many times the usual answer, and few of what
 # a call may take, in seconds.
-HUNG_S = 0.1
+HANG_THRESHOLD_S = 0.1
 # Wait between repeats of a write whose answer was lost, in seconds.
 # Many times the service's usual answer (4 ms), few of them in the two
 # seconds that a caller waits.
-REPEAT_S = 0.15
+WRITE_RETRY_S = 0.15
 
 _LOG = logs.get_logger(__name__)
 
@@ -31,18 +31,18 @@
     """The service has forgotten the changes asked for; read anew."""
 
 
-class AnswersAgain(exceptions.KeyValueUnavailable):
+class StoreRecovered(exceptions.KeyValueUnavailable):
     """A call hung until the store answered another one: repeat it now."""
 
 
-class Outages:
+class OutageTracker:
     """Notes when the store answers again after it did not."""
 
     def __init__(self):
         self._regained_listeners = []
-        self._is_suspect = False
-        self._began_by_call = {}
-        self._given_up = set()
+        self._is_unanswered = False
+        self._started_at_by_call = {}
+        self._cancelled_calls = set()
 
     def listen_regained(self, callback):
         """Call `callback` when a call succeeds after one has failed.
@@ -53,23 +53,23 @@
 
     def note_failure(self):
         """Note that a call had no answer."""
-        self._is_suspect = True
+        self._is_unanswered = True
 
     def note_success(self):
         """Note that a call was answered."""
-        if self._is_suspect:
-            self._is_suspect = False
+        if self._is_unanswered:
+            self._is_unanswered = False
             loop = asyncio.get_running_loop()
             for callback in self._regained_listeners:
                 loop.call_soon(callback)
-            self._give_up_hung(loop.time())
+            self._cancel_hung_calls(loop.time())
 
-    def _give_up_hung(self, now):
-        for call, began_at in self._began_by_call.items():
-            if now - began_at >= HUNG_S and call.cancel():
-                self._given_up.add(call)
+    def _cancel_hung_calls(self, now):
+        for call, began_at in self._started_at_by_call.items():
+            if now - began_at >= HANG_THRESHOLD_S and call.cancel():
+                self._cancelled_calls.add(call)
 
-    async def unless_hung(self, call):
+    async def cancel_if_hung(self, call):
         """Await `call`, a coroutine, as long as there is hope for it.
 
         Raises
@@ -78,20 +78,20 @@
             If it hung while the store gave no answer, which it does now.
         """
         task = asyncio.create_task(call)
-        self._began_by_call[task] = asyncio.get_running_loop().time()
+        self._started_at_by_call[task] = asyncio.get_running_loop().time()
         try:
             return await task
         except asyncio.CancelledError:
-            is_ours = task in self._given_up
-            if not is_ours or asyncio.current_task().cancelling():
+            is_cancelled_as_hung = task in self._cancelled_calls
+            if not is_cancelled_as_hung or asyncio.current_task().cancelling():
                 raise
-            raise AnswersAgain("the store answers again") from None
+            raise StoreRecovered("the store answers again") from None
         finally:
-            del self._began_by_call[task]
-            self._given_up.discard(task)
+            del self._started_at_by_call[task]
+            self._cancelled_calls.discard(task)
 
 
-class AsyncStore(Outages, abc.ABC):
+class AsyncStore(OutageTracker, abc.ABC):
     """Linearizable store; the types are those of ``ports.keyvalue``.
 
     Every method raises ``exceptions.KeyValueUnavailable``; its verdict
@@ -156,7 +156,7 @@
         """End `lease` and delete its keys."""
 
 
-async def swap_until_known(store, swaps, timeout_s, refused_s=None):
+async def swap_until_known(store, swaps, timeout_s, refusal_timeout_s=None):
     """Apply `swaps`, and repeat them while their outcome is unknown.
 
     Each swap must expect a revision that its own landing changes, so
@@ -179,7 +179,9 @@
     """
     loop = asyncio.get_running_loop()
     started_at = loop.time()
-    refused_s = timeout_s if refused_s is None else refused_s
+    refusal_timeout_s = (
+        timeout_s if refusal_timeout_s is None else refusal_timeout_s
+    )
     may_land = None
     while True:
         try:
@@ -187,10 +189,10 @@
         except exceptions.KeyValueUnavailable as error:
             if error.verdict is not verdicts.Verdict.NOT_RUN:
                 may_land = error
-            limit_s = timeout_s if may_land else refused_s
-            if loop.time() + REPEAT_S >= started_at + limit_s:
+            limit_s = timeout_s if may_land else refusal_timeout_s
+            if loop.time() + WRITE_RETRY_S >= started_at + limit_s:
                 raise may_land or error from None
             _LOG.log("write-repeated", key=swaps[0].key, cause=error.message)
-            answers = isinstance(error, AnswersAgain)
-        if not answers:
-            await asyncio.sleep(REPEAT_S)
+            is_recovered = isinstance(error, StoreRecovered)
+        if not is_recovered:
+            await asyncio.sleep(WRITE_RETRY_S)
--- a/packages/gateway/tests/test_following.py
+++ b/packages/gateway/tests/test_following.py
@@ -155,7 +155,7 @@
 
 
 def _swap(monkeypatch, answers, **kwargs):
-    monkeypatch.setattr(stores, "REPEAT_S", 0.01)
+    monkeypatch.setattr(stores, "WRITE_RETRY_S", 0.01)
     store = _Scripted(swap=answers)
     return asyncio.run(stores.swap_until_known(store, SWAPS, **kwargs))
 
@@ -163,7 +163,10 @@
 def test_a_lost_write_is_repeated_until_it_is_known(monkeypatch):
     answers = [_lost(), _lost(verdicts.Verdict.NOT_RUN), LANDED]
 
-    assert _swap(monkeypatch, answers, timeout_s=9.0, refused_s=0.0) == LANDED
+    assert (
+        _swap(monkeypatch, answers, timeout_s=9.0, refusal_timeout_s=0.0)
+        == LANDED
+    )
 
 
 def test_a_store_that_is_away_for_hours_is_asked_on(run_virtual):
@@ -209,6 +212,6 @@
     answers = [_lost(verdict)] + [_lost(verdicts.Verdict.NOT_RUN)] * 50
 
     with pytest.raises(exceptions.KeyValueUnavailable) as caught:
-        _swap(monkeypatch, answers, timeout_s=0.05, refused_s=0.02)
+        _swap(monkeypatch, answers, timeout_s=0.05, refusal_timeout_s=0.02)
 
     assert caught.value.verdict is verdict
--- a/packages/gateway/tests/test_outages.py
+++ b/packages/gateway/tests/test_outages.py
@@ -10,7 +10,7 @@
 SWAPS = [keyvalue.Swap("k", 0, b"v")]
 
 
-class _Store(stores.Outages):
+class _Store(stores.OutageTracker):
     """Gives no answer until it is ``back``; calls before that hang."""
 
     def __init__(self):
@@ -27,7 +27,7 @@
         self.calls.append((name, loop.time()))
         if self.is_silent:
             self.note_failure()
-            await self.unless_hung(asyncio.Event().wait())
+            await self.cancel_if_hung(asyncio.Event().wait())
         return answer
 
     async def swap(self, swaps):
@@ -61,9 +61,11 @@
     async def scenario():
         store.note_failure()
         sent = asyncio.create_task(
-            store.unless_hung(asyncio.sleep(stores.HUNG_S, "answer"))
+            store.cancel_if_hung(
+                asyncio.sleep(stores.HANG_THRESHOLD_S, "answer")
+            )
         )
-        await asyncio.sleep(stores.HUNG_S / 2)
+        await asyncio.sleep(stores.HANG_THRESHOLD_S / 2)
         store.note_success()
         return await sent
 
--- a/packages/gateway/tests/test_store.py
+++ b/packages/gateway/tests/test_store.py
@@ -14,7 +14,7 @@
 
 KEY = "owner/b1"
 TIMEOUT_S = 5.0
-REFUSED_S = 1.2
+REFUSAL_TIMEOUT_S = 1.2
 NOT_RUN = verdicts.Verdict.NOT_RUN
 MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
@@ -61,12 +61,12 @@
         return keyvalue.SwapResult(True, revision + 1, {})
 
 
-async def _write(store, value=b"mine", refused_s=REFUSED_S):
+async def _write(store, value=b"mine", refusal_timeout_s=REFUSAL_TIMEOUT_S):
     """Return whose value is there, or the verdict of a failure."""
     swap = keyvalue.Swap(KEY, 0, value)
     try:
         result = await stores.swap_until_known(
-            store, [swap], TIMEOUT_S, refused_s
+            store, [swap], TIMEOUT_S, refusal_timeout_s
         )
     except exceptions.KeyValueUnavailable as error:
         return error.verdict
@@ -112,7 +112,7 @@
 
     outcome, took_s = run_virtual(scenario())
     assert outcome is NOT_RUN
-    assert took_s <= REFUSED_S
+    assert took_s <= REFUSAL_TIMEOUT_S
     assert store.entry is None
 
 
@@ -129,7 +129,7 @@
     outcome, took_s = run_virtual(scenario())
     assert outcome is MAY_HAVE_RUN
     # An outcome that is unknown is looked after for longer.
-    assert REFUSED_S < took_s <= TIMEOUT_S
+    assert REFUSAL_TIMEOUT_S < took_s <= TIMEOUT_S
 
 
 @hypothesis.given(
