--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -147,7 +147,10 @@
         pinged_at = float("-inf")
         while True:
             await asyncio.sleep(LOOK_S)
-            if self._versions.is_told or self._clock() - pinged_at < PING_S:
+            if (
+                self._versions.is_fed_by_neighbour
+                or self._clock() - pinged_at < PING_S
+            ):
                 continue
             pinged_at = self._clock()
             try:
--- a/packages/gateway/anvilwell_gateway/batches/owners.py
+++ b/packages/gateway/anvilwell_gateway/batches/owners.py
@@ -3,14 +3,14 @@
 import asyncio
 
 from anvilwell_gateway.batches import records
-from anvilwell_gateway import following
+from anvilwell_gateway import prefix_follower
 from anvilwell_kernel.telemetry import counters
 from anvilwell_kernel.telemetry import logs
 
 _LOG = logs.get_logger(__name__)
 
 
-class Owners(following.Follower):
+class Owners(prefix_follower.PrefixFollower):
     """Follows the owners of all batches.
 
     It may be a second or two old. So it decides who is asked first and
--- a/packages/gateway/anvilwell_gateway/configuration.py
+++ b/packages/gateway/anvilwell_gateway/configuration.py
@@ -4,15 +4,15 @@
 
 from anvilwell_decisions.traffic import organisations
 from anvilwell_decisions.traffic import table
-from anvilwell_gateway import following
 from anvilwell_gateway import measures
+from anvilwell_gateway import prefix_follower
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
 _LOG = logs.get_logger(__name__)
 
 
-class ConfigurationFollower(following.Follower):
+class ConfigurationFollower(prefix_follower.PrefixFollower):
     """Follows the configuration; its version never goes back."""
 
     def __init__(self, store, codec):
--- a/packages/gateway/anvilwell_gateway/directory.py
+++ b/packages/gateway/anvilwell_gateway/directory.py
@@ -4,8 +4,8 @@
 import itertools
 import typing
 
-from anvilwell_gateway import following
 from anvilwell_gateway import measures
+from anvilwell_gateway import prefix_follower
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import counters
 from anvilwell_kernel.telemetry import logs
@@ -16,7 +16,7 @@
 RETURN_S = 1.7
 # A replica that leaves may get work for two seconds more; agents tell new
 # versions directly. Changes that come within this time share a call.
-GATHER_S = 1.2
+COALESCE_S = 1.2
 # An agent that says that its engine loads, and then nothing, is believed
 # for so long: three times what a load takes.
 LONGEST_LOAD_S = 3.0
@@ -47,10 +47,10 @@
     is_membership: bool
 
 
-class Directory(following.Follower):
+class Directory(prefix_follower.PrefixFollower):
     """Keeps the replicas by id and tells listeners of each change."""
 
-    gather_s = GATHER_S
+    coalesce_s = COALESCE_S
 
     def __init__(self, store, codec):
         super().__init__(store, codec.replicas_prefix)
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -84,7 +84,7 @@
         )
 
     def follow(self, follower):
-        """Start and stop one more `following.Follower` with the others."""
+        """Start and stop one more `PrefixFollower` with the others."""
         self._followers.append(follower)
 
     def heard_at(self, engine):
--- a/packages/gateway/anvilwell_gateway/news.py
+++ b/packages/gateway/anvilwell_gateway/news.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from anvilwell_gateway import following
 from anvilwell_gateway import live_keys
+from anvilwell_gateway import prefix_follower
 from anvilwell_kernel.telemetry import logs
 
 PREFIX = live_keys.NEWS_PREFIX
@@ -14,7 +14,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class News(following.Follower):
+class News(prefix_follower.PrefixFollower):
     """Knows which lives are there and which batches have ended.
 
     Parameters
@@ -155,7 +155,7 @@
             callback()
 
 
-class Peers(following.Follower):
+class Peers(prefix_follower.PrefixFollower):
     """Tells an agent which entries are there.
 
     Parameters
--- a/packages/gateway/anvilwell_gateway/following.py
+++ b/packages/gateway/anvilwell_gateway/prefix_follower.py
@@ -15,22 +15,22 @@
 WATCH_WAIT_S = 15.0
 # Changes that come within this time share one call. It is a quarter of
 # what a change may take at most, and saves about a third of the calls.
-GATHER_S = 0.25
+COALESCE_S = 0.25
 # Between tries while the store gives no answer, doubled each time up to the
 # longest. Its first answer to any call of this process, a renewal or a ping
 # as a rule, has all followers read at once; each refusal is paid for.
 RETRY_S = 1.0
-LONGEST_RETRY_S = 8.0
+MAX_RETRY_S = 8.0
 # The share of a wait that is drawn, so that processes spread.
 JITTER_SHARE = 0.3
 # Between questions to a neighbour that does not reach the store: a little
 # more than between its own tries.
-ASK_AGAIN_S = 0.15
+NEIGHBOUR_RETRY_S = 0.15
 
 _LOG = logs.get_logger(__name__)
 
 
-class Follower(abc.ABC):
+class PrefixFollower(abc.ABC):
     """Keeps a copy of the entries under one prefix.
 
     A subclass takes whole reads by ``load`` and changes by ``change``.
@@ -40,7 +40,7 @@
     They come from the store itself, or from a neighbour that watches it.
     """
 
-    gather_s = GATHER_S
+    coalesce_s = COALESCE_S
 
     def __init__(self, store, prefix):
         self._store = store
@@ -51,9 +51,9 @@
         self._is_lost = False
         self._neighbours = None
         self._feed = None
-        self._asked = None
-        self._is_settled = False
-        self._is_out_of_touch = False
+        self._source = None
+        self._has_settled = False
+        self._is_source_disconnected = False
         self._next_retry_s = RETRY_S
         self.is_loaded = False
 
@@ -65,7 +65,7 @@
     def change(self, change):
         """Take one change."""
 
-    def start(self, neighbours=None, fed=None):
+    def start(self, neighbours=None, local_feeds=None):
         """Begin to follow.
 
         Parameters
@@ -76,7 +76,9 @@
             Takes what the store itself tells, for others.
         """
         self._neighbours = neighbours
-        self._feed = fed.feed(self._prefix) if fed else feeds.Feed()
+        self._feed = (
+            local_feeds.feed(self._prefix) if local_feeds else feeds.Feed()
+        )
         self._task = asyncio.create_task(self._follow())
         self._store.listen_regained(self.restart)
 
@@ -100,48 +102,50 @@
         store was in trouble; a whole read can't.
         """
         while True:
-            self._asked = self._neighbour()
+            self._source = self._find_source()
             try:
-                await self._read_on()
+                await self._load_and_watch()
             except stores.HistoryGone:
                 _LOG.log("history-gone", prefix=self._prefix)
             except feeds.NotFed as error:
-                self._is_out_of_touch = isinstance(error, feeds.OutOfTouch)
-                if not self._neighbours.failed(self._asked, error):
-                    await asyncio.sleep(ASK_AGAIN_S)
+                self._is_source_disconnected = isinstance(
+                    error, feeds.OutOfTouch
+                )
+                if not self._neighbours.failed(self._source, error):
+                    await asyncio.sleep(NEIGHBOUR_RETRY_S)
             except exceptions.AnvilwellError as error:
-                self._lost(error)
+                self._log_lost(error)
                 await asyncio.sleep(self._retry_s())
 
     def _retry_s(self):
         """Return how long to wait before the next try, in seconds."""
         wait_s = self._next_retry_s
-        self._next_retry_s = min(LONGEST_RETRY_S, 2 * wait_s)
+        self._next_retry_s = min(MAX_RETRY_S, 2 * wait_s)
         return wait_s * (1 - JITTER_SHARE * random.random())
 
     @property
-    def is_told(self):
+    def is_fed_by_neighbour(self):
         """Whether a neighbour that reaches the store tells what changes."""
-        return self._asked is not None and not self._is_out_of_touch
+        return self._source is not None and not self._is_source_disconnected
 
-    def _neighbour(self):
+    def _find_source(self):
         """Return who tells what changes, None for the store itself."""
         return self._neighbours and self._neighbours.find()
 
-    async def _read_on(self):
+    async def _load_and_watch(self):
         """Read the whole, then watch, by the one who is to be asked."""
-        revision = await self._load(self._asked)
-        if self._neighbours and not self._is_settled:
+        revision = await self._load(self._source)
+        if self._neighbours and not self._has_settled:
             await self._neighbours.settle()
-            self._is_settled = True
+            self._has_settled = True
         while True:
-            before, self._asked = self._asked, self._neighbour()
-            if before and not self._asked:
+            previous, self._source = self._source, self._find_source()
+            if previous and not self._source:
                 return
-            revision = await self._watch(self._asked, revision)
+            revision = await self._watch(self._source, revision)
             self._revision = revision
-            if not self._asked:
-                await asyncio.sleep(self.gather_s)
+            if not self._source:
+                await asyncio.sleep(self.coalesce_s)
 
     async def _load(self, neighbour):
         if neighbour:
@@ -150,10 +154,10 @@
         else:
             snapshot = await self._store.get_prefix(self._prefix)
         self._regained()
-        self._is_out_of_touch = False
+        self._is_source_disconnected = False
         self._next_retry_s = RETRY_S
         if snapshot.revision < (self._revision or 0):
-            raise _older(neighbour)
+            raise _stale_read_error(neighbour)
         if not neighbour:
             self._feed.reset(snapshot)
         self._revision = snapshot.revision
@@ -173,7 +177,7 @@
             seen = await self._store.watch(
                 self._prefix, revision, WATCH_WAIT_S
             )
-        self._is_out_of_touch = False
+        self._is_source_disconnected = False
         fresh = [
             change
             for change in seen.changes
@@ -186,7 +190,7 @@
             self._feed.add(fresh, max(revision, seen.revision))
         return max(revision, seen.revision)
 
-    def _lost(self, error):
+    def _log_lost(self, error):
         if not self._is_lost:
             self._is_lost = True
             _LOG.log("store-lost", prefix=self._prefix, cause=error.message)
@@ -201,7 +205,7 @@
         """Note that the store answers again after it did not."""
 
 
-def _older(neighbour):
+def _stale_read_error(neighbour):
     """Return the error for a read that is older than what is known."""
     message = "the read is an old one"
     if neighbour:
--- a/packages/gateway/anvilwell_gateway/retirement.py
+++ b/packages/gateway/anvilwell_gateway/retirement.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from anvilwell_gateway import following
+from anvilwell_gateway import prefix_follower
 from anvilwell_gateway import store as stores
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
@@ -16,7 +16,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Retirement(following.Follower):
+class Retirement(prefix_follower.PrefixFollower):
     """Answers each wish to empty a storage VM.
 
     Nothing lies on the disks that isn't in the store, so a storage VM
--- a/packages/gateway/anvilwell_gateway/versions.py
+++ b/packages/gateway/anvilwell_gateway/versions.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-from anvilwell_gateway import following
+from anvilwell_gateway import prefix_follower
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
 _LOG = logs.get_logger(__name__)
 
 
-class Versions(following.Follower):
+class Versions(prefix_follower.PrefixFollower):
     """Follows the versions that trainers ask for; they only rise."""
 
     def __init__(self, store, codec):
--- a/packages/gateway/anvilwell_gateway_standins/following.py
+++ b/packages/gateway/anvilwell_gateway_standins/follower_world.py
@@ -8,9 +8,9 @@
 import asyncio
 
 from anvilwell_gateway import feeds
-from anvilwell_gateway import following
 from anvilwell_gateway.http import messages
 from anvilwell_gateway import neighbours
+from anvilwell_gateway import prefix_follower
 from anvilwell_gateway import store as stores
 from anvilwell_kernel import exceptions
 from anvilwell_outside.ports import keyvalue
@@ -31,7 +31,7 @@
         self.history = []
         self.compacted = 0
         self.calls = []
-        self.is_deaf = False
+        self.is_paused = False
         self._changed = asyncio.Event()
 
     def write(self, value, key=KEY):
@@ -50,7 +50,7 @@
         self._wake()
 
     def _wake(self):
-        if not self.is_deaf:
+        if not self.is_paused:
             changed, self._changed = self._changed, asyncio.Event()
             changed.set()
 
@@ -64,14 +64,14 @@
                     found = tuple(
                         c for c in self.history if c.revision > after
                     )
-                    if found and not self.is_deaf:
+                    if found and not self.is_paused:
                         return stores.Changes(found, self.revision)
                     await self._changed.wait()
         except TimeoutError:
             return stores.Changes((), self.revision)
 
 
-class Reach:
+class StoreConnection:
     """The store as one process reaches it."""
 
     def __init__(self, store, name):
@@ -147,10 +147,10 @@
             await asyncio.sleep(RETRY_S if self.is_cut else RENEW_S)
 
 
-class Numbers(following.Follower):
+class NumberFollower(prefix_follower.PrefixFollower):
     """Notes each number that it is told, and when."""
 
-    gather_s = 0.25
+    coalesce_s = 0.25
 
     def __init__(self, store, prefix=PREFIX):
         super().__init__(store, prefix)
@@ -222,21 +222,21 @@
     def __init__(self, world, name, domain):
         loop = asyncio.get_running_loop()
         self.is_alive = True
-        self.reach = Reach(world.store, name)
+        self.connection = StoreConnection(world.store, name)
         self.feeds = feeds.Feeds(lambda: self._age_s(loop) < 1.2)
-        self.nearby = neighbours.Neighbours(
+        self.neighbours_finder = neighbours.Neighbours(
             name, domain, lambda: self._age_s(loop) < 1.2 - RENEW_S
         )
-        self.nearby._pool = _Wire(world, name)
-        self.follower = Numbers(self.reach)
+        self.neighbours_finder._pool = _Wire(world, name)
+        self.follower = NumberFollower(self.connection)
         # A second one, that what one of them meets also happens to another.
-        self.second = Numbers(self.reach, "q/")
-        self._renewing = asyncio.create_task(self.reach.renew())
-        self.follower.start(self.nearby, self.feeds)
-        self.second.start(self.nearby, self.feeds)
+        self.second = NumberFollower(self.connection, "q/")
+        self._renewing = asyncio.create_task(self.connection.renew())
+        self.follower.start(self.neighbours_finder, self.feeds)
+        self.second.start(self.neighbours_finder, self.feeds)
 
     def _age_s(self, loop):
-        return loop.time() - self.reach.answered_at
+        return loop.time() - self.connection.answered_at
 
     async def stop(self):
         """End the process."""
@@ -272,7 +272,7 @@
             for name in names
         }
         for process in self.processes_by_name.values():
-            process.nearby.set_entries(entries)
+            process.neighbours_finder.set_entries(entries)
 
     @property
     def alive(self):
@@ -284,7 +284,7 @@
         return sorted(
             name
             for name, process in self.processes_by_name.items()
-            if process.is_alive and not process.follower.is_told
+            if process.is_alive and not process.follower.is_fed_by_neighbour
         )
 
     async def stop(self):
--- a/packages/gateway/anvilwell_gateway_standins/telling.py
+++ b/packages/gateway/anvilwell_gateway_standins/telling.py
@@ -115,7 +115,7 @@
 class Passed:
     """The reader of a domain passes notices on, with what it tells."""
 
-    gather_s = 0.05
+    coalesce_s = 0.05
 
     def __init__(self, world):
         self._world = world
@@ -134,7 +134,7 @@
             return
 
     async def _pass_on(self, reader):
-        await asyncio.sleep(self.gather_s)
+        await asyncio.sleep(self.coalesce_s)
         made = self._made_by_reader.pop(reader)
         if reader in self._world.silent_at:
             await self._world.resumed.wait()
--- a/packages/gateway/tests/test_neighbours.py
+++ b/packages/gateway/tests/test_neighbours.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from anvilwell_gateway import feeds
-from anvilwell_gateway_standins import following as worlds
+from anvilwell_gateway_standins import follower_world as worlds
 from anvilwell_outside.ports import keyvalue
 import hypothesis
 from hypothesis import strategies as st
@@ -95,7 +95,7 @@
     async def scenario(world):
         (watcher,) = world.watchers()
         cut = world.processes_by_name[watcher]
-        cut.reach.cut()
+        cut.connection.cut()
         world.store.write(2)
         await asyncio.sleep(BOUND_S)
         others = [p for p in world.alive if p is not cut]
@@ -108,11 +108,11 @@
     async def scenario(world):
         world.store.calls.clear()
         for process in world.alive:
-            process.reach.cut()
+            process.connection.cut()
         await asyncio.sleep(6.0)
         calls = len(world.store.calls)
         for process in world.alive:
-            process.reach.heal()
+            process.connection.heal()
         world.store.write(2)
         await asyncio.sleep(BOUND_S)
         return calls, _newest(world)
@@ -128,14 +128,14 @@
     async def scenario(world):
         (watcher,) = world.watchers()
         for process in world.alive:
-            process.reach.cut()
+            process.connection.cut()
         await asyncio.sleep(6.0)
         last = world.processes_by_name[watcher]
         for process in world.alive:
             if process is not last:
-                process.reach.heal()
+                process.connection.heal()
         await asyncio.sleep(0.1)
-        last.reach.heal()
+        last.connection.heal()
         world.store.calls.clear()
         await asyncio.sleep(3.0)
         world.store.write(2)
@@ -148,10 +148,10 @@
 def test_a_forgotten_history_is_read_anew_by_one_process(play):
     async def scenario(world):
         world.store.calls.clear()
-        world.store.is_deaf = True
+        world.store.is_paused = True
         world.store.write(2)
         await asyncio.sleep(0.5)
-        world.store.is_deaf = False
+        world.store.is_paused = False
         world.store.forget()
         await asyncio.sleep(0.5)
         return _newest(world), [c for c in world.store.calls if c[1] == "read"]
@@ -230,7 +230,7 @@
 )
 
 
-async def _suffer(world, faults):
+async def _apply_faults(world, faults):
     for number, (fault, name, wait_s) in enumerate(faults):
         process = world.processes_by_name[name]
         if fault == "write":
@@ -242,9 +242,9 @@
         elif fault == "speak":
             world.silent.discard(name)
         elif fault == "cut":
-            process.reach.cut()
+            process.connection.cut()
         elif fault == "heal":
-            process.reach.heal()
+            process.connection.heal()
         elif len(world.alive) > 2:
             await process.stop()
         await asyncio.sleep(wait_s)
@@ -253,10 +253,10 @@
 @hypothesis.given(faults=FAULTS)
 def test_followers_never_go_back_and_miss_nothing(play, faults):
     async def scenario(world):
-        await _suffer(world, faults)
+        await _apply_faults(world, faults)
         world.silent.clear()
         for process in world.alive:
-            process.reach.heal()
+            process.connection.heal()
         # Longer than a doubt and a lost watch together take.
         await asyncio.sleep(25.0)
         world.store.write(999)
--- a/packages/gateway/tests/test_following.py
+++ b/packages/gateway/tests/test_prefix_follower.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from anvilwell_gateway import following
+from anvilwell_gateway import prefix_follower
 from anvilwell_gateway import store as stores
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import verdict as verdicts
@@ -40,7 +40,7 @@
         return await self._next("swap")
 
 
-class _Follower(following.Follower):
+class _Follower(prefix_follower.PrefixFollower):
     def __init__(self, store):
         super().__init__(store, "p/")
         self.seen = []
@@ -69,8 +69,8 @@
 
 
 def _follow(monkeypatch, count, **answers):
-    monkeypatch.setattr(following, "GATHER_S", 0.0)
-    monkeypatch.setattr(following, "RETRY_S", 0.0)
+    monkeypatch.setattr(prefix_follower, "COALESCE_S", 0.0)
+    monkeypatch.setattr(prefix_follower, "RETRY_S", 0.0)
 
     async def run():
         store = _Scripted(**answers)
@@ -181,7 +181,7 @@
         return follower.seen
 
     async def bounded():
-        async with asyncio.timeout(1200 * following.LONGEST_RETRY_S):
+        async with asyncio.timeout(1200 * prefix_follower.MAX_RETRY_S):
             return await scenario()
 
     assert run_virtual(bounded()) == [["p/a"]]
@@ -202,7 +202,7 @@
         return asked, seen
 
     asked, seen = run_virtual(run())
-    least = 60.0 / following.LONGEST_RETRY_S
+    least = 60.0 / prefix_follower.MAX_RETRY_S
     assert least < asked < 2 * least
     assert seen == [["p/a"]]
 
