--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -72,7 +72,7 @@
             self.fleet.directory,
             self.fleet.versions,
             self.fleet.neighbours,
-            self.fleet.heard_at,
+            self.fleet.last_contact_at,
             claims.Claims(self.fleet.store, self.fleet.vm_id),
             platform.engine_at,
             self._batches.holder.needs_by_model,
--- a/packages/gateway/anvilwell_gateway/feeds.py
+++ b/packages/gateway/anvilwell_gateway/feeds.py
@@ -28,32 +28,32 @@
 # force within the two seconds that it may take.
 WAIT_S = 1.0
 # Between looks whether this entry is still in touch with the store.
-LOOK_S = 0.2
+CONTACT_CHECK_S = 0.2
 
 # How a question can end, beside 200: the store is silent here.
 _OUT_OF_TOUCH = 503
 
 
-class Outcome(enum.StrEnum):
+class FeedStatus(enum.StrEnum):
     """What an entry can tell of one prefix."""
 
-    TOLD = "told"
+    DATA = "told"
     # Nothing is new yet, or the prefix is being read anew.
     NOTHING = "nothing"
     FORGOTTEN = "forgotten"
     NOT_WATCHED = "not-watched"
 
 
-class Told(typing.NamedTuple):
+class FeedUpdate(typing.NamedTuple):
     """What an entry tells of one prefix, up to the store's ``revision``."""
 
-    outcome: Outcome
+    outcome: FeedStatus
     entries: tuple[keyvalue.Entry, ...] = ()
     changes: tuple[keyvalue.Change, ...] = ()
     revision: int = 0
 
 
-class Question(typing.NamedTuple):
+class ChangesRequest(typing.NamedTuple):
     """What a neighbour asks: the revision that it knows of each prefix.
 
     None asks for the whole. ``engine`` is the address of the engine beside
@@ -64,15 +64,15 @@
     engine: str = ""
 
 
-_QUESTION = pydantic.TypeAdapter(Question)
-_ANSWER = pydantic.TypeAdapter(dict[str, Told])
+_REQUEST = pydantic.TypeAdapter(ChangesRequest)
+_RESPONSE = pydantic.TypeAdapter(dict[str, FeedUpdate])
 
 
-class NotFed(exceptions.KeyValueUnavailable):
+class FeedUnavailable(exceptions.KeyValueUnavailable):
     """The entry asked does not know the newest changes itself."""
 
 
-class OutOfTouch(NotFed):
+class FeedDisconnected(FeedUnavailable):
     """The store has not answered the entry asked lately."""
 
 
@@ -84,8 +84,8 @@
         self._changes = collections.deque()
         self._first = 0
         self._revision = 0
-        self._on_change = on_change or _nobody
-        self.is_whole = False
+        self._on_change = on_change or _ignore
+        self.is_complete = False
         self.is_watched = False
 
     def reset(self, snapshot):
@@ -93,7 +93,7 @@
         self._entries_by_key = dict(snapshot.entries_by_key)
         self._changes.clear()
         self._first = self._revision = snapshot.revision
-        self.is_whole = self.is_watched = True
+        self.is_complete = self.is_watched = True
         self._on_change()
 
     def add(self, changes, revision):
@@ -114,29 +114,29 @@
 
     def suspend(self):
         """Tell nothing until the whole was read again."""
-        self.is_whole = False
+        self.is_complete = False
 
-    def leave(self):
+    def stop_serving(self):
         """Tell nothing any more: this entry is told by another now."""
-        self.is_whole = self.is_watched = False
+        self.is_complete = self.is_watched = False
 
-    def tell(self, revision):
+    def read_since(self, revision):
         """Return what there is to tell after `revision`, a `Told`.
 
         None asks for the whole.
         """
         if not self.is_watched:
-            return Told(Outcome.NOT_WATCHED)
-        if not self.is_whole:
-            return Told(Outcome.NOTHING)
+            return FeedUpdate(FeedStatus.NOT_WATCHED)
+        if not self.is_complete:
+            return FeedUpdate(FeedStatus.NOTHING)
         if revision is None:
             entries = tuple(self._entries_by_key.values())
-            return Told(Outcome.TOLD, entries, (), self._revision)
+            return FeedUpdate(FeedStatus.DATA, entries, (), self._revision)
         if revision < self._first:
-            return Told(Outcome.FORGOTTEN)
+            return FeedUpdate(FeedStatus.FORGOTTEN)
         changes = tuple(c for c in self._changes if c.revision > revision)
-        outcome = Outcome.TOLD if changes else Outcome.NOTHING
-        return Told(outcome, (), changes, self._revision)
+        outcome = FeedStatus.DATA if changes else FeedStatus.NOTHING
+        return FeedUpdate(outcome, (), changes, self._revision)
 
 
 class Feeds:
@@ -152,11 +152,11 @@
         self._is_current = is_current
         self._changed = asyncio.Event()
         self._feeds_by_prefix = {}
-        self._heard_at_by_engine = {}
+        self._last_contact_at_by_engine = {}
 
-    def heard_at(self, engine):
+    def last_contact_at(self, engine):
         """Return when the agent of an engine asked last, -inf if never."""
-        return self._heard_at_by_engine.get(engine, float("-inf"))
+        return self._last_contact_at_by_engine.get(engine, float("-inf"))
 
     def feed(self, prefix):
         """Return the `Feed` of a prefix."""
@@ -170,15 +170,15 @@
 
     async def answer(self, request, responder):
         """Answer a neighbour's request."""
-        question = read_question(request.body)
-        if question.engine:
+        query = read_request(request.body)
+        if query.engine:
             now = asyncio.get_running_loop().time()
-            self._heard_at_by_engine[question.engine] = now
-        told_by_prefix = await self._wait(question.revisions_by_prefix)
-        if told_by_prefix is None:
+            self._last_contact_at_by_engine[query.engine] = now
+        updates_by_prefix = await self._wait(query.revisions_by_prefix)
+        if updates_by_prefix is None:
             await responder.send(_OUT_OF_TOUCH)
             return
-        await responder.send(200, (), cbor2.dumps(told_by_prefix))
+        await responder.send(200, (), cbor2.dumps(updates_by_prefix))
 
     async def _wait(self, revisions_by_prefix):
         """Return each `Told` once there is one, None while out of touch."""
@@ -186,21 +186,23 @@
         until = loop.time() + WAIT_S
         while self._is_current():
             changed = self._changed
-            told_by_prefix = {
-                prefix: self.feed(prefix).tell(revision)
+            updates_by_prefix = {
+                prefix: self.feed(prefix).read_since(revision)
                 for prefix, revision in revisions_by_prefix.items()
             }
-            outcomes = {told.outcome for told in told_by_prefix.values()}
+            outcomes = {
+                update.outcome for update in updates_by_prefix.values()
+            }
             left_s = until - loop.time()
-            if outcomes != {Outcome.NOTHING} or left_s <= 0:
-                return told_by_prefix
+            if outcomes != {FeedStatus.NOTHING} or left_s <= 0:
+                return updates_by_prefix
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(left_s, LOOK_S)):
+                async with asyncio.timeout(min(left_s, CONTACT_CHECK_S)):
                     await changed.wait()
         return None
 
 
-def read_question(body):
+def read_request(body):
     """Return the `Question` in a request's body.
 
     Raises
@@ -208,10 +210,10 @@
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_QUESTION, body, "question for changes")
+    return bodies.read(_REQUEST, body, "question for changes")
 
 
-def read_answer(status, body):
+def read_response(status, body):
     """Return each `Told` of an answer, as told_by_prefix.
 
     Raises
@@ -220,14 +222,14 @@
         If there is none; ``OutOfTouch`` if the store is the cause.
     """
     if status == _OUT_OF_TOUCH:
-        raise OutOfTouch("the neighbour does not reach the store")
+        raise FeedDisconnected("the neighbour does not reach the store")
     if status != 200:
-        raise NotFed(f"the neighbour answered {status}")
+        raise FeedUnavailable(f"the neighbour answered {status}")
     try:
-        return _ANSWER.validate_python(cbor2.loads(body))
+        return _RESPONSE.validate_python(cbor2.loads(body))
     except (cbor2.CBORError, ValueError) as error:
-        raise NotFed(f"the answer can't be read: {error}") from error
+        raise FeedUnavailable(f"the answer can't be read: {error}") from error
 
 
-def _nobody():
+def _ignore():
     """Tell nobody."""
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -87,10 +87,10 @@
         """Start and stop one more `PrefixFollower` with the others."""
         self._followers.append(follower)
 
-    def heard_at(self, engine):
+    def last_contact_at(self, engine):
         """Return when the agent of an engine was heard last, or -inf."""
         return max(
-            self.feeds.heard_at(engine), self.directory.noted_at(engine)
+            self.feeds.last_contact_at(engine), self.directory.noted_at(engine)
         )
 
     def start(self, peer_address):
--- a/packages/gateway/anvilwell_gateway/neighbours.py
+++ b/packages/gateway/anvilwell_gateway/neighbours.py
@@ -83,18 +83,22 @@
     async def get_prefix(self, prefix):
         """Return the neighbour's `keyvalue.Snapshot` of `prefix`."""
         told = await self._ask(prefix, None)
-        if told.outcome is not feeds.Outcome.TOLD:
-            raise feeds.NotFed(f"{self.vm_id} has no whole: {told.outcome}")
+        if told.outcome is not feeds.FeedStatus.DATA:
+            raise feeds.FeedUnavailable(
+                f"{self.vm_id} has no whole: {told.outcome}"
+            )
         entries_by_key = {entry.key: entry for entry in told.entries}
         return keyvalue.Snapshot(entries_by_key, told.revision)
 
     async def watch(self, prefix, revision):
         """Return the `stores.Changes` after `revision`, perhaps none."""
         told = await self._ask(prefix, revision)
-        if told.outcome is feeds.Outcome.FORGOTTEN:
+        if told.outcome is feeds.FeedStatus.FORGOTTEN:
             raise stores.HistoryGone(f"{self.vm_id} has forgotten them")
-        if told.outcome is feeds.Outcome.NOT_WATCHED:
-            raise feeds.NotFed(f"{self.vm_id} does not watch {prefix}")
+        if told.outcome is feeds.FeedStatus.NOT_WATCHED:
+            raise feeds.FeedUnavailable(
+                f"{self.vm_id} does not watch {prefix}"
+            )
         return stores.Changes(told.changes, told.revision)
 
     async def _ask(self, prefix, revision):
@@ -109,22 +113,22 @@
             async with asyncio.timeout(ANSWER_S):
                 return await told
         except TimeoutError:
-            raise feeds.NotFed("no answer to the question") from None
+            raise feeds.FeedUnavailable("no answer to the question") from None
 
     async def _send(self):
         """Send what is asked until now as one question."""
         await asyncio.sleep(JOIN_S)
         asked_by_prefix, self._asked_by_prefix = self._asked_by_prefix, {}
         try:
-            told_by_prefix = await self._question(asked_by_prefix)
-        except feeds.NotFed as error:
+            updates_by_prefix = await self._question(asked_by_prefix)
+        except feeds.FeedUnavailable as error:
             for asked in asked_by_prefix.values():
                 if not asked.told.done():
                     asked.told.set_exception(error)
             return
         for prefix, asked in asked_by_prefix.items():
             if not asked.told.done():
-                asked.told.set_result(told_by_prefix[prefix])
+                asked.told.set_result(updates_by_prefix[prefix])
 
     async def _question(self, asked_by_prefix):
         """Return told_by_prefix, the answer to one question."""
@@ -132,7 +136,7 @@
         request = bodies.question(
             feeds.TARGET,
             self.address,
-            feeds.Question(revisions, self._engine),
+            feeds.ChangesRequest(revisions, self._engine),
         )
         try:
             reply, body = await self._pool.ask(
@@ -143,11 +147,11 @@
                 MAX_ANSWER_BYTES,
             )
         except exceptions.BackendFailed as error:
-            raise feeds.NotFed(error.message) from error
-        told_by_prefix = feeds.read_answer(reply.status, body)
-        if revisions.keys() - told_by_prefix.keys():
-            raise feeds.NotFed(f"{self.vm_id} left prefixes out")
-        return told_by_prefix
+            raise feeds.FeedUnavailable(error.message) from error
+        updates_by_prefix = feeds.read_response(reply.status, body)
+        if revisions.keys() - updates_by_prefix.keys():
+            raise feeds.FeedUnavailable(f"{self.vm_id} left prefixes out")
+        return updates_by_prefix
 
 
 class Neighbours:
@@ -256,7 +260,7 @@
         now = self._clock()
         if now < self._doubted_until_by_vm.get(neighbour.vm_id, 0.0):
             return True
-        if isinstance(error, feeds.OutOfTouch) and self._may_return(now):
+        if isinstance(error, feeds.FeedDisconnected) and self._may_return(now):
             return False
         until = now + DOUBT_S
         self._doubted_until_by_vm[neighbour.vm_id] = until
--- a/packages/gateway/anvilwell_gateway/prefix_follower.py
+++ b/packages/gateway/anvilwell_gateway/prefix_follower.py
@@ -107,9 +107,9 @@
                 await self._load_and_watch()
             except stores.HistoryGone:
                 _LOG.log("history-gone", prefix=self._prefix)
-            except feeds.NotFed as error:
+            except feeds.FeedUnavailable as error:
                 self._is_source_disconnected = isinstance(
-                    error, feeds.OutOfTouch
+                    error, feeds.FeedDisconnected
                 )
                 if not self._neighbours.failed(self._source, error):
                     await asyncio.sleep(NEIGHBOUR_RETRY_S)
@@ -149,7 +149,7 @@
 
     async def _load(self, neighbour):
         if neighbour:
-            self._feed.leave()
+            self._feed.stop_serving()
             snapshot = await neighbour.get_prefix(self._prefix)
         else:
             snapshot = await self._store.get_prefix(self._prefix)
@@ -171,7 +171,7 @@
 
     async def _watch(self, neighbour, revision):
         if neighbour:
-            self._feed.leave()
+            self._feed.stop_serving()
             seen = await neighbour.watch(self._prefix, revision)
         else:
             seen = await self._store.watch(
@@ -209,5 +209,5 @@
     """Return the error for a read that is older than what is known."""
     message = "the read is an old one"
     if neighbour:
-        return feeds.NotFed(message)
+        return feeds.FeedUnavailable(message)
     return exceptions.KeyValueUnavailable(message)
--- a/packages/gateway/tests/test_neighbours.py
+++ b/packages/gateway/tests/test_neighbours.py
@@ -185,9 +185,9 @@
     async def scenario(world):
         (watcher,) = world.watchers()
         feed = world.processes_by_name[watcher].feeds.feed(worlds.PREFIX)
-        told = feed.tell(None)
+        update = feed.read_since(None)
         old = keyvalue.Snapshot(
-            {entry.key: entry for entry in told.entries}, told.revision
+            {entry.key: entry for entry in update.entries}, update.revision
         )
         world.store.write(2)
         await asyncio.sleep(1.0)
@@ -213,8 +213,8 @@
 
 @pytest.mark.parametrize("body", [b"", b"\xff", b"\x81\x01"])
 def test_an_answer_that_can_not_be_read_tells_nothing(body):
-    with pytest.raises(feeds.NotFed):
-        feeds.read_answer(200, body)
+    with pytest.raises(feeds.FeedUnavailable):
+        feeds.read_response(200, body)
 
 
 NAMES = sorted(ONE_DOMAIN)
