--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -109,7 +109,7 @@
 
     async def _follow_versions(self):
         """Follow by an entry from the start, if there is one."""
-        await self._neighbours.until_any(FIRST_WAIT_S)
+        await self._neighbours.wait_for_entry(FIRST_WAIT_S)
         self._versions.start(self._neighbours)
 
     async def drain(self):
--- a/packages/gateway/anvilwell_gateway/neighbours.py
+++ b/packages/gateway/anvilwell_gateway/neighbours.py
@@ -16,24 +16,24 @@
 # is so long after the store answered this process, in seconds. After an
 # outage all are back in touch within a tenth of a second; those that are
 # before their neighbour would read the whole.
-PATIENCE_S = 0.12
+RECONNECT_GRACE_S = 0.12
 # What was seen so long ago was another outage.
-FORGIVEN_S = 2.0
+NEW_OUTAGE_S = 2.0
 # What a question may take beyond its wait: some round trips and the pauses
 # of a busy VM, in seconds.
 MARGIN_S = 0.5
 # A neighbour that failed is not asked for so long, in seconds: by then its
 # live key has lapsed if it is gone. Until then the store is asked.
-DOUBT_S = 5.0
+BACKOFF_S = 5.0
 # A process that starts waits so long for the others that start with it to
 # register, in seconds. A watch that is begun sooner is a call more.
 SETTLE_S = 1.0
 # It waits no longer than this to learn of any neighbour.
-KNOWN_S = 3.0
+FIRST_NEIGHBOUR_TIMEOUT_S = 3.0
 # Whatever becomes of a question, nobody waits longer for its answer.
-ANSWER_S = feeds.WAIT_S + 2 * MARGIN_S
+ANSWER_TIMEOUT_S = feeds.WAIT_S + 2 * MARGIN_S
 # What a process asks within this time shares one question, in seconds.
-JOIN_S = 0.01
+COALESCE_S = 0.01
 MAX_ANSWER_BYTES = 32 << 20
 _DUTY = "watch the store"
 
@@ -47,11 +47,11 @@
     failure_domain: str
 
 
-class _Asked(typing.NamedTuple):
+class _PendingQuery(typing.NamedTuple):
     """One prefix that a question is to ask for, and who waits for it."""
 
     revision: int | None
-    told: asyncio.Future
+    result: asyncio.Future
 
 
 class Neighbour:
@@ -77,62 +77,65 @@
         self.address = address
         self._pool = pool
         self._engine = engine
-        self._asked_by_prefix = {}
-        self._asking = set()
+        self._pending_by_prefix = {}
+        self._send_tasks = set()
 
     async def get_prefix(self, prefix):
         """Return the neighbour's `keyvalue.Snapshot` of `prefix`."""
-        told = await self._ask(prefix, None)
-        if told.outcome is not feeds.FeedStatus.DATA:
+        update = await self._ask(prefix, None)
+        if update.outcome is not feeds.FeedStatus.DATA:
             raise feeds.FeedUnavailable(
-                f"{self.vm_id} has no whole: {told.outcome}"
+                f"{self.vm_id} has no whole: {update.outcome}"
             )
-        entries_by_key = {entry.key: entry for entry in told.entries}
-        return keyvalue.Snapshot(entries_by_key, told.revision)
+        entries_by_key = {entry.key: entry for entry in update.entries}
+        return keyvalue.Snapshot(entries_by_key, update.revision)
 
     async def watch(self, prefix, revision):
         """Return the `stores.Changes` after `revision`, perhaps none."""
-        told = await self._ask(prefix, revision)
-        if told.outcome is feeds.FeedStatus.FORGOTTEN:
+        update = await self._ask(prefix, revision)
+        if update.outcome is feeds.FeedStatus.FORGOTTEN:
             raise stores.HistoryGone(f"{self.vm_id} has forgotten them")
-        if told.outcome is feeds.FeedStatus.NOT_WATCHED:
+        if update.outcome is feeds.FeedStatus.NOT_WATCHED:
             raise feeds.FeedUnavailable(
                 f"{self.vm_id} does not watch {prefix}"
             )
-        return stores.Changes(told.changes, told.revision)
+        return stores.Changes(update.changes, update.revision)
 
     async def _ask(self, prefix, revision):
         """Return the `feeds.Told` of one prefix."""
-        told = asyncio.get_running_loop().create_future()
-        if not self._asked_by_prefix:
+        result = asyncio.get_running_loop().create_future()
+        if not self._pending_by_prefix:
             task = asyncio.create_task(self._send())
-            self._asking.add(task)
-            task.add_done_callback(self._asking.discard)
-        self._asked_by_prefix[prefix] = _Asked(revision, told)
+            self._send_tasks.add(task)
+            task.add_done_callback(self._send_tasks.discard)
+        self._pending_by_prefix[prefix] = _PendingQuery(revision, result)
         try:
-            async with asyncio.timeout(ANSWER_S):
-                return await told
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                return await result
         except TimeoutError:
             raise feeds.FeedUnavailable("no answer to the question") from None
 
     async def _send(self):
         """Send what is asked until now as one question."""
-        await asyncio.sleep(JOIN_S)
-        asked_by_prefix, self._asked_by_prefix = self._asked_by_prefix, {}
+        await asyncio.sleep(COALESCE_S)
+        pending_by_prefix, self._pending_by_prefix = (
+            self._pending_by_prefix,
+            {},
+        )
         try:
-            updates_by_prefix = await self._question(asked_by_prefix)
+            updates_by_prefix = await self._query(pending_by_prefix)
         except feeds.FeedUnavailable as error:
-            for asked in asked_by_prefix.values():
-                if not asked.told.done():
-                    asked.told.set_exception(error)
+            for pending in pending_by_prefix.values():
+                if not pending.result.done():
+                    pending.result.set_exception(error)
             return
-        for prefix, asked in asked_by_prefix.items():
-            if not asked.told.done():
-                asked.told.set_result(updates_by_prefix[prefix])
+        for prefix, pending in pending_by_prefix.items():
+            if not pending.result.done():
+                pending.result.set_result(updates_by_prefix[prefix])
 
-    async def _question(self, asked_by_prefix):
+    async def _query(self, pending_by_prefix):
         """Return told_by_prefix, the answer to one question."""
-        revisions = {p: one.revision for p, one in asked_by_prefix.items()}
+        revisions = {p: one.revision for p, one in pending_by_prefix.items()}
         request = bodies.question(
             feeds.TARGET,
             self.address,
@@ -181,19 +184,19 @@
         self._pool = client.Pool(self._clock, is_probed=True)
         self._entries_by_vm = {}
         self._neighbours_by_vm = {}
-        self._doubted_until_by_vm = {}
-        self._silent_since = float("-inf")
-        self._known = asyncio.Event()
+        self._skipped_until_by_vm = {}
+        self._disconnected_since = float("-inf")
+        self._entries_received = asyncio.Event()
         self._has_entries = asyncio.Event()
 
     def set_entries(self, entries_by_vm):
         """Take in each `Candidate` that is registered."""
         self._entries_by_vm = entries_by_vm
         self._neighbours_by_vm = {
-            vm_id: self._kept(vm_id, entries_by_vm[vm_id].address)
+            vm_id: self._reuse_or_create(vm_id, entries_by_vm[vm_id].address)
             for vm_id in self._candidates(self._failure_domain)
         }
-        self._known.set()
+        self._entries_received.set()
         if entries_by_vm:
             self._has_entries.set()
 
@@ -222,7 +225,7 @@
         near = choice.ranked(_DUTY, self._candidates(self._failure_domain))
         return [*near, *sorted(set(self._entries_by_vm).difference(near))]
 
-    def _kept(self, vm_id, address):
+    def _reuse_or_create(self, vm_id, address):
         """Return the `Neighbour` that is known, or a new one."""
         known = self._neighbours_by_vm.get(vm_id)
         if known and known.address == address:
@@ -232,13 +235,13 @@
     async def settle(self):
         """Wait until those that start with this process are known."""
         try:
-            async with asyncio.timeout(KNOWN_S):
-                await self._known.wait()
+            async with asyncio.timeout(FIRST_NEIGHBOUR_TIMEOUT_S):
+                await self._entries_received.wait()
         except TimeoutError:
             return
         await asyncio.sleep(SETTLE_S)
 
-    async def until_any(self, limit_s):
+    async def wait_for_entry(self, limit_s):
         """Wait until an entry is known, `limit_s` seconds at most."""
         try:
             async with asyncio.timeout(limit_s):
@@ -250,33 +253,35 @@
         """Return the `Neighbour` to ask, None to ask the store itself."""
         candidates = self._candidates(self._failure_domain)
         chosen = choice.chosen(_DUTY, candidates)
-        doubted_until = self._doubted_until_by_vm.get(chosen, 0.0)
-        if chosen in (None, self._vm_id) or self._clock() < doubted_until:
+        skipped_until = self._skipped_until_by_vm.get(chosen, 0.0)
+        if chosen in (None, self._vm_id) or self._clock() < skipped_until:
             return None
         return self._neighbours_by_vm[chosen]
 
     def failed(self, neighbour, error):
         """Note that a neighbour did not answer; return if it is doubted."""
         now = self._clock()
-        if now < self._doubted_until_by_vm.get(neighbour.vm_id, 0.0):
+        if now < self._skipped_until_by_vm.get(neighbour.vm_id, 0.0):
             return True
-        if isinstance(error, feeds.FeedDisconnected) and self._may_return(now):
+        if isinstance(error, feeds.FeedDisconnected) and self._may_reconnect(
+            now
+        ):
             return False
-        until = now + DOUBT_S
-        self._doubted_until_by_vm[neighbour.vm_id] = until
+        until = now + BACKOFF_S
+        self._skipped_until_by_vm[neighbour.vm_id] = until
         _LOG.log(
             "neighbour-doubted", neighbour=neighbour.vm_id, cause=error.message
         )
         return True
 
-    def _may_return(self, now):
+    def _may_reconnect(self, now):
         """Return whether an entry that is out of touch is waited for."""
         if not self._is_answered():
-            self._silent_since = float("-inf")
+            self._disconnected_since = float("-inf")
             return True
-        if now - self._silent_since > FORGIVEN_S:
-            self._silent_since = now
-        return now - self._silent_since < PATIENCE_S
+        if now - self._disconnected_since > NEW_OUTAGE_S:
+            self._disconnected_since = now
+        return now - self._disconnected_since < RECONNECT_GRACE_S
 
     def close(self):
         """Close the connections."""
