--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -320,9 +320,9 @@
         trainer is late allows fewer versions behind the newest.
         """
         await asyncio.sleep(loading.SETTLE_S)
-        needs_by_model = await self._teller.tell(self._notice(report))
-        if model in needs_by_model:
-            lag = max(0, wanted - needs_by_model[model])
+        min_versions_by_model = await self._teller.tell(self._notice(report))
+        if model in min_versions_by_model:
+            lag = max(0, wanted - min_versions_by_model[model])
             known = self._lags_by_model.get(model, lag)
             self._lags_by_model[model] = min(known, lag)
 
--- a/packages/gateway/anvilwell_gateway/batches/committing.py
+++ b/packages/gateway/anvilwell_gateway/batches/committing.py
@@ -30,52 +30,52 @@
         Told ``(held, cause)`` if the batch is another process's now.
     """
 
-    def __init__(self, batch_store, held, on_taken):
+    def __init__(self, batch_store, batch, on_taken):
         self._store = batch_store
-        self._held = held
+        self._batch = batch
         self._on_taken = on_taken
 
     async def run(self):
         """Commit whatever is ready, until the batch is lost."""
-        held = self._held
+        batch = self._batch
         loop = asyncio.get_running_loop()
         wrote_s = 0.0
         while True:
-            await held.has_ready.wait()
-            held.has_ready.clear()
-            if not held.book.listable_results():
+            await batch.has_ready.wait()
+            batch.has_ready.clear()
+            if not batch.book.listable_results():
                 continue
             # What came during a long write has waited enough.
             await self._gather(GATHER_S - wrote_s)
             results = sizes.fitting(
-                held.book.listable_results(), records.MAX_VALUE_BYTES
+                batch.book.listable_results(), records.MAX_VALUE_BYTES
             )
             if not results:
                 continue
             began_at = loop.time()
-            held.begin_write()
+            batch.begin_write()
             if not await self._append(results):
                 return
             wrote_s = loop.time() - began_at
-            held.chunks += 1
-            held.list(results)
+            batch.chunks += 1
+            batch.list(results)
             _LOG.routine(
                 "results-listed",
-                batch_id=held.batch_id,
-                chunk=held.chunks - 1,
-                listed=len(held.book.listed),
+                batch_id=batch.batch_id,
+                chunk=batch.chunks - 1,
+                listed=len(batch.book.listed),
                 took_s=round(wrote_s, 3),
             )
-            held.has_ready.set()
+            batch.has_ready.set()
 
     async def _gather(self, wait_s):
         """Wait for more groups while the trainer needs more than are whole."""
-        held = self._held
+        batch = self._batch
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, wait_s)):
-                while not held.book.has_enough_groups:
-                    await held.has_ready.wait()
-                    held.has_ready.clear()
+                while not batch.book.has_enough_groups:
+                    await batch.has_ready.wait()
+                    batch.has_ready.clear()
 
     async def _append(self, results):
         """Write one chunk; return whether the batch is still ours.
@@ -83,19 +83,19 @@
         A write whose outcome is unknown may land late, so nothing else
         is written under its number.
         """
-        held = self._held
+        batch = self._batch
         while True:
             try:
                 await self._store.append(
-                    held.batch_id, held.claimed, held.chunks, results
+                    batch.batch_id, batch.claim, batch.chunks, results
                 )
                 return True
-            except records.Taken as error:
-                self._on_taken(held, error.message)
+            except records.OwnedElsewhere as error:
+                self._on_taken(batch, error.message)
                 return False
             except exceptions.AnvilwellError as error:
                 _LOG.log(
                     "results-not-committed",
-                    batch_id=held.batch_id,
+                    batch_id=batch.batch_id,
                     cause=error.message,
                 )
--- a/packages/gateway/anvilwell_gateway/batches/homes.py
+++ b/packages/gateway/anvilwell_gateway/batches/homes.py
@@ -85,8 +85,8 @@
         A trainer's steps are alike, so that changes little while it trains.
         """
         newest_by_model = {}
-        for claimed in self._owners.claimed_by_id.values():
-            owner = claimed.owner
+        for claim in self._owners.claims_by_id.values():
+            owner = claim.owner
             if owner.service == service:
                 known = newest_by_model.get(owner.model, owner)
                 newest_by_model[owner.model] = max(
--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -8,10 +8,10 @@
 
 from anvilwell_decisions.traffic import facts
 from anvilwell_decisions.traffic import organisations
-from anvilwell_gateway.batches import handing
-from anvilwell_gateway.batches import held as helds
 from anvilwell_gateway.batches import homes as all_homes
+from anvilwell_gateway.batches import owned_batch as owned_batches
 from anvilwell_gateway.batches import records
+from anvilwell_gateway.batches import submission_forwarding
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
@@ -65,21 +65,21 @@
     def __init__(
         self,
         batch_store,
-        holder,
+        manager,
         presence,
         news,
         owners,
         dialect,
-        hander,
+        submission_forwarder,
         homes,
     ):
         self._store = batch_store
         self._owners = owners
-        self._holder = holder
+        self._manager = manager
         self._presence = presence
         self._news = news
         self._dialect = dialect
-        self._hander = hander
+        self._submission_forwarder = submission_forwarder
         self._homes = homes
         self._resolving = set()
         # How many submissions of each batch are under way.
@@ -91,7 +91,7 @@
         self.is_draining = False
         news.listen(self._heard)
         owners.listen(self._look_at)
-        holder.on_lost = self.review
+        manager.on_lost = self.review
 
     async def accept(self, route, request):
         """Accept the batch in `request`; it is durable on return.
@@ -106,15 +106,17 @@
             If it could not be made durable; ``NOT_RUN`` is a promise.
         """
         submission = self._submission(request)
-        handed = handing.Handed.NOT
-        if submission.batch_id not in self._holder.held_by_id:
-            handed = await self._hander.hand(route, submission.model, request)
-        if handed is handing.Handed.ACCEPTED:
+        outcome = submission_forwarding.ForwardOutcome.NOT
+        if submission.batch_id not in self._manager.batches_by_id:
+            outcome = await self._submission_forwarder.forward(
+                route, submission.model, request
+            )
+        if outcome is submission_forwarding.ForwardOutcome.ACCEPTED:
             return
         try:
             await self.take(route, request)
         except exceptions.AnvilwellError as error:
-            if handed is handing.Handed.UNKNOWN:
+            if outcome is submission_forwarding.ForwardOutcome.UNKNOWN:
                 # The other entry may have accepted it.
                 error.verdict = verdicts.Verdict.MAY_HAVE_RUN
             raise
@@ -129,9 +131,9 @@
         """
         submission = self._submission(request)
         digest = xxhash.xxh3_128_hexdigest(request.body)
-        held = self._holder.held_by_id.get(submission.batch_id)
-        if held is not None:
-            _check_same(held.claimed.owner, digest, submission)
+        batch = self._manager.batches_by_id.get(submission.batch_id)
+        if batch is not None:
+            _check_same(batch.claim.owner, digest, submission)
             return
         if self.is_draining:
             raise exceptions.Refused(
@@ -146,7 +148,7 @@
         owner = self._owner(
             submission, digest, time.time(), all_homes.service_of(route)
         )
-        raw = records.Raw(
+        raw = records.StoredSubmission(
             request.target,
             request.headers,
             request.body,
@@ -163,8 +165,8 @@
                 "the store has not answered; the batch may be accepted",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
-        claimed = accepting.result()
-        _check_same(claimed.owner, digest, submission)
+        claim = accepting.result()
+        _check_same(claim.owner, digest, submission)
 
     async def _write(self, route, submission, owner, raw):
         """Write the batch and open it, also after the caller has left.
@@ -176,18 +178,18 @@
         batch_id = submission.batch_id
         self._accepting[batch_id] += 1
         try:
-            claimed, carried = await self._store_batch(
+            claim, carried = await self._store_batch(
                 route, batch_id, owner, raw
             )
-            if claimed.owner == owner._replace(parts=claimed.owner.parts):
-                self._open(route, submission, claimed, ((), 0, carried))
+            if claim.owner == owner._replace(parts=claim.owner.parts):
+                self._open(route, submission, claim, ((), 0, carried))
         finally:
             self._accepting[batch_id] -= 1
             if not self._accepting[batch_id]:
                 del self._accepting[batch_id]
             # Its owner may have been lost meanwhile.
             self._look_at({batch_id})
-        return claimed
+        return claim
 
     async def _store_batch(self, route, batch_id, owner, raw):
         return await asyncio.gather(
@@ -222,30 +224,30 @@
             submission.model,
         )
 
-    def _open(self, route, submission, claimed, adopted):
+    def _open(self, route, submission, claim, adopted):
         """Open a batch, unless it was taken over first; return whether.
 
         The change of its owner was told while nobody held it here, and is
         not told again.
         """
         batch_id = submission.batch_id
-        if self._owners.is_superseded(batch_id, claimed):
+        if self._owners.is_superseded(batch_id, claim):
             _LOG.log("batch-not-opened", batch_id=batch_id)
             return False
         loop = asyncio.get_running_loop()
-        age_s = max(0.0, time.time() - claimed.owner.submitted_at)
+        age_s = max(0.0, time.time() - claim.owner.submitted_at)
         give_up_at = loop.time() + route.max_queue_s - age_s
-        held = helds.Held(claimed, route, submission, give_up_at)
-        results, held.chunks, saved = adopted
-        held.book.restore(results, saved)
-        self._holder.open(held)
+        batch = owned_batches.OwnedBatch(claim, route, submission, give_up_at)
+        results, batch.chunks, saved = adopted
+        batch.book.restore(results, saved)
+        self._manager.open(batch)
         if batch_id in self._news.ended:
-            self._holder.end(batch_id)
+            self._manager.end(batch_id)
         return True
 
     def _heard(self, lost, ended):
         for batch_id in ended:
-            self._holder.end(batch_id)
+            self._manager.end(batch_id)
         if lost:
             self.review()
 
@@ -260,7 +262,7 @@
 
     def review(self):
         """Look for batches whose owner is gone, in the background."""
-        self._look_at(set(self._owners.claimed_by_id))
+        self._look_at(set(self._owners.claims_by_id))
 
     def _look_at(self, batch_ids):
         """Drop those of the batches that are another's, take orphans.
@@ -270,9 +272,9 @@
         if not self._may_take:
             return
         for batch_id in batch_ids:
-            held = self._holder.held_by_id.get(batch_id)
-            if held and self._owners.is_superseded(batch_id, held.claimed):
-                self._start(self._drop(held))
+            batch = self._manager.batches_by_id.get(batch_id)
+            if batch and self._owners.is_superseded(batch_id, batch.claim):
+                self._start(self._drop(batch))
             elif batch_id not in self._taking and self._may_be_orphan(
                 batch_id
             ):
@@ -284,24 +286,22 @@
         self._reviews.add(task)
         task.add_done_callback(self._reviews.discard)
 
-    async def _drop(self, held):
-        await self._holder.drop(held, "another process owns it")
+    async def _drop(self, batch):
+        await self._manager.drop(batch, "another process owns it")
 
     def _may_be_orphan(self, batch_id):
         """Return whether a batch's owner is gone, as far as is told."""
-        claimed = self._owners.claimed_by_id.get(batch_id)
+        claim = self._owners.claims_by_id.get(batch_id)
         return (
-            claimed is not None
+            claim is not None
             and not self.is_draining
-            and self._is_orphan(
-                batch_id, claimed.owner, self._news.lives_by_vm
-            )
+            and self._is_orphan(batch_id, claim.owner, self._news.lives_by_vm)
         )
 
     async def _take_over(self, batch_id):
         """Take a batch once it is our turn, unless its owner lives."""
         try:
-            owner = self._owners.claimed_by_id[batch_id].owner
+            owner = self._owners.claims_by_id[batch_id].owner
             rank = self._rank(batch_id, owner, self._news.lives_by_vm)
             await asyncio.sleep(self._grace_s(owner) + RANK_DELAY_S * rank)
             while self._may_be_orphan(batch_id):
@@ -334,8 +334,8 @@
         if owner.vm_id == self._presence.vm_id:
             # Also if it is this life's: a write that was given up may
             # land late, and only this process can know of it.
-            return batch_id not in self._holder.held_by_id
-        return lives_by_vm.get(owner.vm_id) != owner.life
+            return batch_id not in self._manager.batches_by_id
+        return lives_by_vm.get(owner.vm_id) != owner.incarnation
 
     def _rank(self, batch_id, owner, lives_by_vm):
         """Return how many live processes should try before this one."""
@@ -358,30 +358,30 @@
         """
         # In this order: whoever owned the batch at the first read and is
         # not there at the second is gone.
-        claimed = await self._store.owner(batch_id)
+        claim = await self._store.owner(batch_id)
         lives_by_vm = await self._news.read_lives()
-        if claimed is None:
+        if claim is None:
             return True
-        if not self._is_orphan(batch_id, claimed.owner, lives_by_vm):
+        if not self._is_orphan(batch_id, claim.owner, lives_by_vm):
             return False
-        owner = claimed.owner
+        owner = claim.owner
         mine = owner._replace(
-            vm_id=self._presence.vm_id, life=self._presence.life
+            vm_id=self._presence.vm_id, incarnation=self._presence.life
         )
         try:
-            claimed = await self._store.claim(batch_id, claimed, mine)
-        except records.Taken:
+            claim = await self._store.claim(batch_id, claim, mine)
+        except records.OwnedElsewhere:
             return False
         _LOG.log("batch-taken-over", batch_id=batch_id, owner=owner.vm_id)
         opened = asyncio.get_running_loop().create_future()
         self._opening[opened] = owner.submitted_at
         try:
-            return await self._adopt(batch_id, claimed)
+            return await self._adopt(batch_id, claim)
         finally:
             del self._opening[opened]
             opened.set_result(None)
 
-    async def _adopt(self, batch_id, claimed):
+    async def _adopt(self, batch_id, claim):
         """Open a batch of an earlier owner with what that left.
 
         Returns
@@ -389,7 +389,7 @@
         bool
             Whether there is no more to do.
         """
-        raw = await self._store.raw(batch_id, claimed.owner.parts)
+        raw = await self._store.raw(batch_id, claim.owner.parts)
         results, chunks = await self._store.results(batch_id)
         saved = await self._store.saved(batch_id)
         submission = self._submission(self._dialect.stored_request(raw))
@@ -401,11 +401,11 @@
         older = [
             opened
             for opened, submitted_at in self._opening.items()
-            if submitted_at < claimed.owner.submitted_at
+            if submitted_at < claim.owner.submitted_at
         ]
         if older:
             await asyncio.wait(older, timeout=OLDER_FIRST_S)
-        return self._open(route, submission, claimed, (results, chunks, saved))
+        return self._open(route, submission, claim, (results, chunks, saved))
 
     def _submission(self, request):
         """Return the `facts.Submission` in a caller's request."""
@@ -419,8 +419,8 @@
         One that is not known here may be new.
         """
         place = submission.host, submission.path
-        known = self._holder.routes().find(*place)
-        return known or (await self._holder.newest_routes()).find(*place)
+        known = self._manager.routes().find(*place)
+        return known or (await self._manager.newest_routes()).find(*place)
 
     async def stop(self):
         """Take nothing over any more, once who waits has an answer.
--- a/packages/gateway/anvilwell_gateway/batches/holder.py
+++ b/packages/gateway/anvilwell_gateway/batches/manager.py
@@ -5,7 +5,7 @@
 from anvilwell_gateway.batches import committing
 from anvilwell_gateway.batches import saving
 from anvilwell_gateway.batches import scheduler as schedulers
-from anvilwell_gateway.batches import scorer as scorers
+from anvilwell_gateway.batches import scoring_scheduler as scoring_schedulers
 from anvilwell_gateway import measures
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
@@ -16,7 +16,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Holder:
+class BatchManager:
     """Keeps the batches that this process owns, and what runs for each.
 
     Parameters
@@ -48,48 +48,50 @@
         forwarder,
         dialect,
         crash_tracker,
-        sharing,
+        slot_sharing,
     ):
         self._store = batch_store
         self._configuration = configuration
         self._sequence = 0
         self._tasks = set()
         self.on_lost = _nothing
-        self.held_by_id = {}
-        self._scorer = scorers.Scorer(
-            forwarder, directory, configuration, dialect, self.held_by_id
+        self.batches_by_id = {}
+        self._scoring_scheduler = scoring_schedulers.ScoringScheduler(
+            forwarder, directory, configuration, dialect, self.batches_by_id
         )
         self._scheduler = schedulers.Scheduler(
             directory,
             configuration,
             runner,
-            self.held_by_id,
-            self._scorer.schedule,
+            self.batches_by_id,
+            self._scoring_scheduler.schedule,
             crash_tracker,
-            sharing,
+            slot_sharing,
         )
 
     def gauge_values(self):
         """Return how many batches and items this entry has."""
-        held_now = self.held_by_id.values()
-        waiting = sum(len(held.book.waiting_ids()) for held in held_now)
-        running = sum(len(held.runs_by_item) for held in held_now)
-        unscored = sum(len(held.book.unscored_ids()) for held in held_now)
+        batches = self.batches_by_id.values()
+        waiting = sum(len(batch.book.waiting_ids()) for batch in batches)
+        running = sum(len(batch.runs_by_item) for batch in batches)
+        unscored = sum(len(batch.book.unscored_ids()) for batch in batches)
         return [
-            measures.GaugeValue("batches", len(held_now)),
+            measures.GaugeValue("batches", len(batches)),
             measures.GaugeValue("items_waiting", waiting),
             measures.GaugeValue("items_running", running),
             measures.GaugeValue("items_unscored", unscored),
         ]
 
-    def needs_by_model(self):
+    def min_versions_by_model(self):
         """Return the oldest version that the newest batch of a model takes."""
-        needs_by_model = {}
-        for held in self.held_by_id.values():
-            model = held.submission.model
-            known = needs_by_model.get(model, 0)
-            needs_by_model[model] = max(known, held.submission.min_version)
-        return needs_by_model
+        min_versions_by_model = {}
+        for batch in self.batches_by_id.values():
+            model = batch.submission.model
+            known = min_versions_by_model.get(model, 0)
+            min_versions_by_model[model] = max(
+                known, batch.submission.min_version
+            )
+        return min_versions_by_model
 
     def routes(self):
         """Return the routes in force."""
@@ -100,55 +102,55 @@
         await self._configuration.catch_up()
         return self.routes()
 
-    def open(self, held):
+    def open(self, batch):
         """Begin to run a batch that is ours.
 
         A newer claim replaces an older one; an older one comes too late.
         """
-        known = self.held_by_id.get(held.batch_id)
+        known = self.batches_by_id.get(batch.batch_id)
         if known:
-            if known.claimed.revision >= held.claimed.revision:
+            if known.claim.revision >= batch.claim.revision:
                 return
             self._keep_task(known.stop(_REPLACED))
         self._sequence += 1
-        held.sequence = (held.claimed.owner.submitted_at, self._sequence)
-        self.held_by_id[held.batch_id] = held
-        committer = committing.Committer(self._store, held, self._taken)
-        held.committer = asyncio.create_task(committer.run())
-        saver = saving.Saver(self._store, held)
-        held.saver = asyncio.create_task(saver.run())
-        held.has_ready.set()
+        batch.sequence = (batch.claim.owner.submitted_at, self._sequence)
+        self.batches_by_id[batch.batch_id] = batch
+        committer = committing.Committer(self._store, batch, self._taken)
+        batch.committer = asyncio.create_task(committer.run())
+        saver = saving.Saver(self._store, batch)
+        batch.saver = asyncio.create_task(saver.run())
+        batch.has_ready.set()
         loop = asyncio.get_running_loop()
-        loop.call_at(held.give_up_at, self._give_up, held)
+        loop.call_at(batch.give_up_at, self._give_up, batch)
         _LOG.log(
             "batch-open",
-            batch_id=held.batch_id,
-            items=held.book.total,
-            listed=len(held.book.listed),
-            min_version=held.submission.min_version,
+            batch_id=batch.batch_id,
+            items=batch.book.total,
+            listed=len(batch.book.listed),
+            min_version=batch.submission.min_version,
         )
         self._scheduler.schedule()
-        self._scorer.schedule()
+        self._scoring_scheduler.schedule()
 
     def save_soon(self):
         """Save what could not be, as the store answers again."""
-        for held in self.held_by_id.values():
-            if held.is_unsaved:
-                held.to_save.set()
+        for batch in self.batches_by_id.values():
+            if batch.is_unsaved:
+                batch.to_save.set()
 
     def end(self, batch_id):
         """Stop a batch that its trainer has ended."""
-        held = self.held_by_id.get(batch_id)
-        if held is None or held.book.is_ended:
+        batch = self.batches_by_id.get(batch_id)
+        if batch is None or batch.book.is_ended:
             return
-        held.book.mark_ended()
-        held.cancel_runs("the batch ended")
-        self._keep_task(self._carry(held))
+        batch.book.mark_ended()
+        batch.cancel_runs("the batch ended")
+        self._keep_task(self._carry(batch))
         _LOG.log(
             "batch-ended",
             batch_id=batch_id,
-            listed=len(held.book.listed),
-            items=held.book.total,
+            listed=len(batch.book.listed),
+            items=batch.book.total,
         )
         self._scheduler.schedule()
 
@@ -157,79 +159,79 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _carry(self, held):
+    async def _carry(self, batch):
         """Keep what the batch left unfinished.
 
         A trainer submits groups that were not whole again, and items of
         them then need only what they lack.
         """
-        saved = [one.save() for one in held.texts()]
+        saved = [one.save() for one in batch.texts()]
         if not saved:
             return
         try:
             await self._store.carry(
-                held.route, held.submission.organisation, saved
+                batch.route, batch.submission.organisation, saved
             )
         except exceptions.AnvilwellError as error:
             _LOG.log(
                 "texts-not-carried",
-                batch_id=held.batch_id,
+                batch_id=batch.batch_id,
                 cause=error.message,
             )
 
-    def forget(self, held):
+    def forget(self, batch):
         """Answer for a batch no more; return whether it was answered for.
 
         A newer claim of the batch stays.
         """
-        if self.held_by_id.get(held.batch_id) is not held:
+        if self.batches_by_id.get(batch.batch_id) is not batch:
             return False
-        del self.held_by_id[held.batch_id]
+        del self.batches_by_id[batch.batch_id]
         return True
 
-    async def drop(self, held, cause):
+    async def drop(self, batch, cause):
         """Forget a batch that is another's now."""
-        if self.forget(held):
-            _LOG.log("batch-dropped", batch_id=held.batch_id, cause=cause)
-            await held.stop(cause)
+        if self.forget(batch):
+            _LOG.log("batch-dropped", batch_id=batch.batch_id, cause=cause)
+            await batch.stop(cause)
             self.on_lost()
 
-    async def let_go(self):
+    async def release(self):
         """Stop all batches and keep their texts for the next owner."""
-        held_now = list(self.held_by_id.values())
-        self.held_by_id.clear()
-        await asyncio.gather(*(self._save(held) for held in held_now))
+        batches = list(self.batches_by_id.values())
+        self.batches_by_id.clear()
+        await asyncio.gather(*(self._save(batch) for batch in batches))
 
     async def stop(self):
         """Stop all that runs."""
-        held_now = list(self.held_by_id.values())
-        self.held_by_id.clear()
-        for held in held_now:
-            await held.stop(_LEAVING)
+        batches = list(self.batches_by_id.values())
+        self.batches_by_id.clear()
+        for batch in batches:
+            await batch.stop(_LEAVING)
         self._scheduler.stop()
-        self._scorer.stop()
+        self._scoring_scheduler.stop()
 
-    async def _save(self, held):
-        await held.stop(_LEAVING)
-        saved = [one.save() for one in held.texts()]
-        if held.book.needs_no_runs or not saved:
+    async def _save(self, batch):
+        await batch.stop(_LEAVING)
+        saved = [one.save() for one in batch.texts()]
+        if batch.book.needs_no_runs or not saved:
             return
         try:
-            await self._store.save(held.batch_id, saved)
+            await self._store.save(batch.batch_id, saved)
         except exceptions.AnvilwellError as error:
             _LOG.log(
-                "texts-not-saved", batch_id=held.batch_id, cause=error.message
+                "texts-not-saved", batch_id=batch.batch_id, cause=error.message
             )
-        _LOG.log("batch-let-go", batch_id=held.batch_id, texts=len(saved))
+        _LOG.log("batch-let-go", batch_id=batch.batch_id, texts=len(saved))
 
-    def _taken(self, held, cause):
-        self._keep_task(self.drop(held, cause))
+    def _taken(self, batch, cause):
+        self._keep_task(self.drop(batch, cause))
 
-    def _give_up(self, held):
-        if self.held_by_id.get(held.batch_id) is held:
-            held.book.abandon_rest()
-            held.cancel_runs("the batch's time is over")
-            held.has_ready.set()
+    def _give_up(self, batch):
+        if self.batches_by_id.get(batch.batch_id) is batch:
+            batch.book.abandon_rest()
+            batch.cancel_runs("the batch's time is over")
+            batch.has_ready.set()
 
 
 def _nothing():
--- a/packages/gateway/anvilwell_gateway/batches/needing.py
+++ b/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
@@ -6,10 +6,10 @@
 
 # Owners are looked at again after so long, in seconds: with hundreds of
 # agents, looks at each notice would cost more than the notices.
-LOOK_S = 0.25
+REFRESH_INTERVAL_S = 0.25
 
 
-class Needing:
+class NoticeSubscribers:
     """Finds the entries that run batches for a service, or will.
 
     Parameters
@@ -36,7 +36,7 @@
     def find(self, service):
         """Return the VMs that need notices of `service`; None is any."""
         now = self._clock()
-        if now - self._looked_at >= LOOK_S:
+        if now - self._looked_at >= REFRESH_INTERVAL_S:
             self._looked_at = now
             self._vms_by_service = self._look()
         if service is None:
@@ -55,9 +55,9 @@
             (name, home) for name in gathered for home in self._homes.all(name)
         }
         pairs |= {
-            (claimed.owner.service, claimed.owner.vm_id)
-            for claimed in self._owners.claimed_by_id.values()
-            if lives_by_vm.get(claimed.owner.vm_id) == claimed.owner.life
+            (claim.owner.service, claim.owner.vm_id)
+            for claim in self._owners.claims_by_id.values()
+            if lives_by_vm.get(claim.owner.vm_id) == claim.owner.incarnation
         }
         vms_by_service = {}
         for name, vm_id in pairs:
--- a/packages/gateway/anvilwell_gateway/batches/held.py
+++ b/packages/gateway/anvilwell_gateway/batches/owned_batch.py
@@ -8,7 +8,7 @@
 from anvilwell_gateway import tasks
 
 
-class Held:
+class OwnedBatch:
     """A batch, its book and who waits for it.
 
     Parameters
@@ -23,8 +23,8 @@
         Event-loop time at which the rest is given up.
     """
 
-    def __init__(self, claimed, route, submission, give_up_at):
-        self.claimed = claimed
+    def __init__(self, claim, route, submission, give_up_at):
+        self.claim = claim
         self.route = route
         self.submission = submission
         self.give_up_at = give_up_at
--- a/packages/gateway/anvilwell_gateway/batches/passing.py
+++ b/packages/gateway/anvilwell_gateway/batches/owner_client.py
@@ -31,7 +31,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Question(typing.NamedTuple):
+class ResultsRequest(typing.NamedTuple):
     """What is asked for: results of a batch from a position on."""
 
     batch_id: str
@@ -40,7 +40,7 @@
     with_results: bool = True
 
 
-class Page(typing.NamedTuple):
+class ResultsPage(typing.NamedTuple):
     """Results in the order of their positions.
 
     ``listed`` of ``total`` positions are there; ``results`` are some from
@@ -52,12 +52,12 @@
     results: tuple[facts.Result, ...] | None
 
 
-_QUESTION = pydantic.TypeAdapter(Question)
-_PAGE = pydantic.TypeAdapter(Page)
+_RESULTS_REQUEST = pydantic.TypeAdapter(ResultsRequest)
+_RESULTS_PAGE = pydantic.TypeAdapter(ResultsPage)
 _BATCH_ID = pydantic.TypeAdapter(str)
 
 
-def read_question(body):
+def read_results_request(body):
     """Return the `Question` in a request's body.
 
     Raises
@@ -65,7 +65,7 @@
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_QUESTION, body, "question for results")
+    return bodies.read(_RESULTS_REQUEST, body, "question for results")
 
 
 def read_end(body):
@@ -79,7 +79,7 @@
     return bodies.read(_BATCH_ID, body, "id of a batch")
 
 
-class Passer:
+class OwnerClient:
     """Asks owners of batches for results, and tells them of ends.
 
     Parameters
@@ -101,18 +101,21 @@
         self._news = news
         self._pool = client.Pool(asyncio.get_running_loop().time, True)
 
-    async def ask(self, question):
+    async def ask(self, results_request):
         """Return the owner's `Page`, or None if it gives none."""
-        vm_id = self._owner(question.batch_id)
+        vm_id = self._owner(results_request.batch_id)
         if vm_id is None:
             return None
         is_near = self._news.domains_by_vm[vm_id] == self._failure_domain
-        question = question._replace(with_results=is_near)
+        results_request = results_request._replace(with_results=is_near)
         try:
             body = await self._send(
-                vm_id, TARGET, question, question.wait_s + MARGIN_S
+                vm_id,
+                TARGET,
+                results_request,
+                results_request.wait_s + MARGIN_S,
             )
-            return _PAGE.validate_python(cbor2.loads(body))
+            return _RESULTS_PAGE.validate_python(cbor2.loads(body))
         except (
             exceptions.BackendFailed,
             cbor2.CBORError,
@@ -120,7 +123,7 @@
         ) as error:
             _LOG.log(
                 "owner-not-asked",
-                batch_id=question.batch_id,
+                batch_id=results_request.batch_id,
                 owner=vm_id,
                 cause=repr(error),
             )
@@ -154,10 +157,10 @@
 
     def _owner(self, batch_id):
         """Return another VM that owns a batch and lives, or None."""
-        claimed = self._owners.claimed_by_id.get(batch_id)
-        if claimed is None or claimed.owner.vm_id == self._vm_id:
+        claim = self._owners.claims_by_id.get(batch_id)
+        if claim is None or claim.owner.vm_id == self._vm_id:
             return None
-        vm_id, life = claimed.owner.vm_id, claimed.owner.life
+        vm_id, life = claim.owner.vm_id, claim.owner.incarnation
         return vm_id if self._news.lives_by_vm.get(vm_id) == life else None
 
     def close(self):
--- a/packages/gateway/anvilwell_gateway/batches/owners.py
+++ b/packages/gateway/anvilwell_gateway/batches/owners.py
@@ -26,30 +26,30 @@
     def __init__(self, store):
         super().__init__(store, records.OWNER_PREFIX)
         self._listeners = []
-        self.claimed_by_id = {}
+        self.claims_by_id = {}
         self.loaded_at = float("-inf")
 
     def listen(self, callback):
         """Call ``callback(batch_ids)`` when these have an owner anew."""
         self._listeners.append(callback)
 
-    def is_superseded(self, batch_id, claimed):
+    def is_superseded(self, batch_id, claim):
         """Return whether a batch is known to have a newer claim."""
-        known = self.claimed_by_id.get(batch_id)
-        return known is not None and known.revision > claimed.revision
+        known = self.claims_by_id.get(batch_id)
+        return known is not None and known.revision > claim.revision
 
     def load(self, entries_by_key):
         """Take all owners that are there."""
         self.loaded_at = asyncio.get_running_loop().time()
-        self.claimed_by_id = {}
+        self.claims_by_id = {}
         for key, entry in entries_by_key.items():
             self._take(key, entry.value, entry.revision)
-        self._tell(set(self.claimed_by_id))
+        self._tell(set(self.claims_by_id))
 
     def change(self, change):
         """Take one batch's owner."""
         batch_id = change.key.removeprefix(records.OWNER_PREFIX)
-        self.claimed_by_id.pop(batch_id, None)
+        self.claims_by_id.pop(batch_id, None)
         if change.value is not None:
             self._take(change.key, change.value, change.revision)
             self._tell({batch_id})
@@ -57,12 +57,12 @@
     def _take(self, key, value, revision):
         batch_id = key.removeprefix(records.OWNER_PREFIX)
         try:
-            claimed = records.read_claimed(value, revision)
-        except records.Unreadable as error:
+            claim = records.read_claim(value, revision)
+        except records.UnreadableOwner as error:
             counters.count_unreadable("owner")
             _LOG.log("owner-unreadable", key=key, cause=error.message)
             return
-        self.claimed_by_id[batch_id] = claimed
+        self.claims_by_id[batch_id] = claim
 
     def _tell(self, batch_ids):
         for callback in self._listeners:
--- a/packages/gateway/anvilwell_gateway/batches/reader.py
+++ b/packages/gateway/anvilwell_gateway/batches/reader.py
@@ -4,10 +4,10 @@
 import typing
 
 # Batches whose listed results are kept here, the latest read first.
-MAX_KEPT = 4
+MAX_CACHED = 4
 
 
-class Kept(typing.NamedTuple):
+class CachedBatch(typing.NamedTuple):
     """What is known of a batch; none of it ever changes."""
 
     total: int
@@ -33,7 +33,7 @@
         self._store = batch_store
         self._owners = owners
         self._dialect = dialect
-        self._kept_by_id = collections.OrderedDict()
+        self._cached_by_id = collections.OrderedDict()
         self._items_by_batch = collections.OrderedDict()
 
     async def read(self, batch_id, after, listed=None):
@@ -47,57 +47,59 @@
         exceptions.KeyValueUnavailable
             If the store can't be asked.
         """
-        kept = self._kept_by_id.get(batch_id)
-        if kept is None:
-            claimed = await self._claimed(batch_id)
-            if claimed is None:
+        cached = self._cached_by_id.get(batch_id)
+        if cached is None:
+            claim = await self._claim(batch_id)
+            if claim is None:
                 return None
-            kept = Kept(claimed.owner.total, [], 0, claimed.owner.parts)
+            cached = CachedBatch(claim.owner.total, [], 0, claim.owner.parts)
         # Also for an earlier position: a trainer goes on with what is new.
-        if len(kept.results) < (kept.total if listed is None else listed):
-            more, chunks = await self._store.results(batch_id, kept.chunks)
-            kept = kept._replace(results=kept.results + more, chunks=chunks)
-        self._keep(self._kept_by_id, batch_id, kept)
-        return kept.total, kept.results[after:]
+        if len(cached.results) < (cached.total if listed is None else listed):
+            more, chunks = await self._store.results(batch_id, cached.chunks)
+            cached = cached._replace(
+                results=cached.results + more, chunks=chunks
+            )
+        self._cache(self._cached_by_id, batch_id, cached)
+        return cached.total, cached.results[after:]
 
     def listed(self, batch_id):
         """Return how many results of a batch have been read here."""
-        kept = self._kept_by_id.get(batch_id)
-        return len(kept.results) if kept else 0
+        cached = self._cached_by_id.get(batch_id)
+        return len(cached.results) if cached else 0
 
     async def body(self, batch_id, item_id):
         """Return the body of an item, or None if there is none."""
         items = self._items_by_batch.get(batch_id)
         if items is None:
-            claimed = await self._claimed(batch_id)
-            if claimed is None:
+            claim = await self._claim(batch_id)
+            if claim is None:
                 return None
-            raw = await self._store.raw(batch_id, claimed.owner.parts)
+            raw = await self._store.raw(batch_id, claim.owner.parts)
             submission = self._dialect.read_submission(
                 self._dialect.stored_request(raw)
             )
             items = {item.item_id: item.body for item in submission.items}
-        self._keep(self._items_by_batch, batch_id, items)
+        self._cache(self._items_by_batch, batch_id, items)
         return items.get(item_id)
 
     async def exists(self, batch_id):
         """Return whether the batch was ever accepted."""
-        if batch_id in self._kept_by_id:
+        if batch_id in self._cached_by_id:
             return True
-        return await self._claimed(batch_id) is not None
+        return await self._claim(batch_id) is not None
 
-    async def _claimed(self, batch_id):
+    async def _claim(self, batch_id):
         """Return the `records.Claimed` of a batch, None if there is none.
 
         What was written with a batch never changes, so an old owner will
         do. That there is none, only the store can say.
         """
-        known = self._owners.claimed_by_id.get(batch_id)
+        known = self._owners.claims_by_id.get(batch_id)
         return known or await self._store.owner(batch_id)
 
     @staticmethod
-    def _keep(kept_by_id, batch_id, value):
-        kept_by_id[batch_id] = value
-        kept_by_id.move_to_end(batch_id)
-        while len(kept_by_id) > MAX_KEPT:
-            kept_by_id.popitem(last=False)
+    def _cache(cached_by_id, batch_id, value):
+        cached_by_id[batch_id] = value
+        cached_by_id.move_to_end(batch_id)
+        while len(cached_by_id) > MAX_CACHED:
+            cached_by_id.popitem(last=False)
--- a/packages/gateway/anvilwell_gateway/batches/records.py
+++ b/packages/gateway/anvilwell_gateway/batches/records.py
@@ -37,7 +37,7 @@
     """
 
     vm_id: str
-    life: str
+    incarnation: str
     total: int
     digest: str
     submitted_at: float
@@ -46,7 +46,7 @@
     model: str = ""
 
 
-class Raw(typing.NamedTuple):
+class StoredSubmission(typing.NamedTuple):
     """A submission as it came, so that any VM decodes it the same way.
 
     Its headers hold no key: whoever reads the store learns none.
@@ -59,7 +59,7 @@
 
 
 _OWNER = pydantic.TypeAdapter(Owner)
-_RAW = pydantic.TypeAdapter(Raw)
+_SUBMISSION = pydantic.TypeAdapter(StoredSubmission)
 _RESULTS = pydantic.TypeAdapter(tuple[facts.Result, ...])
 _SAVED = pydantic.TypeAdapter(tuple[progress.Saved, ...])
 
@@ -72,18 +72,18 @@
     return adapter.validate_python(cbor2.loads(value))
 
 
-class Claimed(typing.NamedTuple):
+class Claim(typing.NamedTuple):
     """An owner's entry and its revision, the guard of each commit."""
 
     owner: Owner
     revision: int
 
 
-class Unreadable(exceptions.AnvilwellError):
+class UnreadableOwner(exceptions.AnvilwellError):
     """An entry holds something else than it should."""
 
 
-class Taken(exceptions.AnvilwellError):
+class OwnedElsewhere(exceptions.AnvilwellError):
     """Another process owns the batch now."""
 
 
@@ -96,13 +96,13 @@
     async def owner(self, batch_id):
         """Return the `Claimed` of a batch, or None if there is none."""
         entry = await self._store.get(f"{OWNER_PREFIX}{batch_id}")
-        return entry and _claimed(entry)
+        return entry and _read_entry(entry)
 
     async def owners(self):
         """Return the `Claimed` of every batch as claimed_by_id."""
         snapshot = await self._store.get_prefix(OWNER_PREFIX)
         return {
-            key.removeprefix(OWNER_PREFIX): _claimed(entry)
+            key.removeprefix(OWNER_PREFIX): _read_entry(entry)
             for key, entry in snapshot.entries_by_key.items()
         }
 
@@ -135,10 +135,10 @@
             self._store, swaps, timeout_s, refusal_timeout_s
         )
         if result.landed:
-            return Claimed(owner, result.revision)
-        return _claimed(result.entries_by_key[key])
+            return Claim(owner, result.revision)
+        return _read_entry(result.entries_by_key[key])
 
-    async def claim(self, batch_id, claimed, owner):
+    async def claim(self, batch_id, claim, owner):
         """Take over a batch from a dead owner; return the `Claimed`.
 
         Raises
@@ -147,16 +147,16 @@
             If somebody else was quicker.
         """
         key = f"{OWNER_PREFIX}{batch_id}"
-        swap = keyvalue.Swap(key, claimed.revision, _dump(owner))
+        swap = keyvalue.Swap(key, claim.revision, _dump(owner))
         result = await stores.swap_until_known(
             self._store, [swap], COMMIT_TIMEOUT_S
         )
         if result.landed:
-            return Claimed(owner, result.revision)
+            return Claim(owner, result.revision)
         entry = result.entries_by_key.get(key)
-        if entry is not None and _claimed(entry).owner == owner:
-            return Claimed(owner, entry.revision)
-        raise Taken(f"batch {batch_id} was taken by another process")
+        if entry is not None and _read_entry(entry).owner == owner:
+            return Claim(owner, entry.revision)
+        raise OwnedElsewhere(f"batch {batch_id} was taken by another process")
 
     async def raw(self, batch_id, parts):
         """Return the `Raw` submission of a batch."""
@@ -166,7 +166,7 @@
         ]
         if not all(found):
             raise exceptions.NotFound(f"batch {batch_id} has no record")
-        return _load(_RAW, b"".join(entry.value for entry in found))
+        return _load(_SUBMISSION, b"".join(entry.value for entry in found))
 
     async def results(self, batch_id, chunk=0):
         """Return the results from chunk number `chunk` on, and the next.
@@ -185,7 +185,7 @@
         chunks = [_load(_RESULTS, entry.value) for _, entry in entries]
         return list(itertools.chain.from_iterable(chunks)), chunk + len(chunks)
 
-    async def append(self, batch_id, claimed, chunk, results):
+    async def append(self, batch_id, claim, chunk, results):
         """Write `results` as the next chunk, if the batch is still ours.
 
         Raises
@@ -200,7 +200,7 @@
             self._store,
             [
                 keyvalue.Swap(key, 0, value),
-                keyvalue.Guard(owner_key, claimed.revision),
+                keyvalue.Guard(owner_key, claim.revision),
             ],
             COMMIT_TIMEOUT_S,
         )
@@ -208,7 +208,9 @@
             return
         entry = written.entries_by_key.get(key)
         if entry is None or entry.value != value:
-            raise Taken(f"batch {batch_id} was taken by another process")
+            raise OwnedElsewhere(
+                f"batch {batch_id} was taken by another process"
+            )
 
     async def save(self, batch_id, saved):
         """Keep the texts of unlisted items for the next owner."""
@@ -255,7 +257,7 @@
             await self._store.remove(some)
 
 
-def read_claimed(value, revision):
+def read_claim(value, revision):
     """Return the `Claimed` in an owner's entry.
 
     Raises
@@ -264,13 +266,13 @@
         If there is none.
     """
     try:
-        return Claimed(_load(_OWNER, value), revision)
+        return Claim(_load(_OWNER, value), revision)
     except (cbor2.CBORError, ValueError) as error:
-        raise Unreadable(f"no owner: {error}") from error
+        raise UnreadableOwner(f"no owner: {error}") from error
 
 
-def _claimed(entry):
-    return read_claimed(entry.value, entry.revision)
+def _read_entry(entry):
+    return read_claim(entry.value, entry.revision)
 
 
 def _carried_key(route, organisation):
--- a/packages/gateway/anvilwell_gateway/batches/desk.py
+++ b/packages/gateway/anvilwell_gateway/batches/request_handler.py
@@ -4,7 +4,7 @@
 
 import cbor2
 
-from anvilwell_gateway.batches import passing
+from anvilwell_gateway.batches import owner_client as owner_clients
 from anvilwell_gateway.batches import reader as readers
 from anvilwell_gateway.batches import sizes
 from anvilwell_gateway import dialect as dialects
@@ -30,7 +30,7 @@
 _JSON = ("Content-Type", "application/json")
 
 
-class Desk:
+class BatchRequestHandler:
     """Turns calls on batches into answers.
 
     Parameters
@@ -57,19 +57,19 @@
     def __init__(
         self,
         batch_store,
-        holder,
+        manager,
         intake,
         dialect,
         owners,
-        passer,
+        owner_client,
         budget,
         may_vouch,
     ):
         self._store = batch_store
-        self._holder = holder
+        self._manager = manager
         self._intake = intake
         self._dialect = dialect
-        self._passer = passer
+        self._owner_client = owner_client
         self._budget = budget
         self._may_vouch = may_vouch
         self._owners = owners
@@ -144,13 +144,21 @@
         await responder.send(status, headers)
 
     async def _read(self, call, responder):
-        is_owner = call.batch_id in self._holder.held_by_id
-        question = passing.Question(call.batch_id, call.after, call.wait_s)
-        found, source = await self._own_page(question), "memory"
+        is_owner = call.batch_id in self._manager.batches_by_id
+        results_request = owner_clients.ResultsRequest(
+            call.batch_id, call.after, call.wait_s
+        )
+        found, source = await self._own_page(results_request), "memory"
         if found is None and not is_owner:
-            found, source = await self._passer.ask(question), "owner"
+            found, source = (
+                await self._owner_client.ask(results_request),
+                "owner",
+            )
         if found is None or not found.results:
-            told, found = found, await self._stored_page(question, found)
+            told, found = (
+                found,
+                await self._stored_page(results_request, found),
+            )
             source = source if told is found else "store"
         if found is None:
             await self._not_found(call, responder)
@@ -168,67 +176,77 @@
         body = self._dialect.write_page(total, page, call.after + len(page))
         await responder.send(200, (_JSON,), body)
 
-    async def _own_page(self, question):
+    async def _own_page(self, results_request):
         """Return the `passing.Page` of a batch of ours.
 
         None if it is not ours, or if only the store can say whether there
         is a result.
         """
-        held = self._holder.held_by_id.get(question.batch_id)
-        if held is None:
+        batch = self._manager.batches_by_id.get(results_request.batch_id)
+        if batch is None:
             return None
-        if question.wait_s and not held.book.is_ended:
-            await held.wait_listed(question.after, question.wait_s)
-        if not held.has(question.after):
-            await held.wait_known(DOUBT_S)
-        if not held.has(question.after) and not self._is_certain(held):
+        if results_request.wait_s and not batch.book.is_ended:
+            await batch.wait_listed(
+                results_request.after, results_request.wait_s
+            )
+        if not batch.has(results_request.after):
+            await batch.wait_known(DOUBT_S)
+        if not batch.has(results_request.after) and not self._is_certain(
+            batch
+        ):
             return None
-        listed = held.book.listed
-        return passing.Page(
-            held.book.total, len(listed), tuple(listed[question.after :])
+        listed = batch.book.listed
+        return owner_clients.ResultsPage(
+            batch.book.total,
+            len(listed),
+            tuple(listed[results_request.after :]),
         )
 
-    def _is_certain(self, held):
+    def _is_certain(self, batch):
         """Return whether nothing is listed but what the book has."""
-        if self._holder.held_by_id.get(held.batch_id) is not held:
+        if self._manager.batches_by_id.get(batch.batch_id) is not batch:
             return False
-        if self._owners.is_superseded(held.batch_id, held.claimed):
+        if self._owners.is_superseded(batch.batch_id, batch.claim):
             return False
-        return not held.is_in_doubt and self._may_vouch()
+        return not batch.is_in_doubt and self._may_vouch()
 
-    async def _stored_page(self, question, told):
+    async def _stored_page(self, results_request, told):
         """Return the `passing.Page` from the store, or None.
 
         What the owner `told` saves the call if there is nothing new.
         """
-        known = self._reader.listed(question.batch_id)
-        if told and max(told.listed, known) <= question.after:
+        known = self._reader.listed(results_request.batch_id)
+        if told and max(told.listed, known) <= results_request.after:
             return told
         found = await self._reader.read(
-            question.batch_id, question.after, told and told.listed
+            results_request.batch_id,
+            results_request.after,
+            told and told.listed,
         )
         if found is None:
             return None
         total, results = found
-        return passing.Page(total, question.after + len(results), results)
+        return owner_clients.ResultsPage(
+            total, results_request.after + len(results), results
+        )
 
     async def answer_peer(self, request, responder):
         """Answer another entry's question for results of our batches."""
-        question = passing.read_question(request.body)
-        page = await self._own_page(question)
+        results_request = owner_clients.read_results_request(request.body)
+        page = await self._own_page(results_request)
         if page is None:
             raise exceptions.NotFound("only the store can tell")
         results = None
         is_little = sizes.size(page.results) <= MAX_FAR_BYTES
-        if question.with_results or is_little:
+        if results_request.with_results or is_little:
             results = tuple(sizes.fitting(page.results, MAX_PAGE_BYTES))
         body = cbor2.dumps(page._replace(results=results))
         await responder.send(200, (), body)
 
     async def _body(self, call, responder):
-        held = self._holder.held_by_id.get(call.batch_id)
-        if held is not None:
-            item = held.book.items_by_id.get(call.item_id)
+        batch = self._manager.batches_by_id.get(call.batch_id)
+        if batch is not None:
+            item = batch.book.items_by_id.get(call.item_id)
             body = item.body if item else None
         else:
             body = await self._reader.body(call.batch_id, call.item_id)
@@ -240,20 +258,20 @@
 
     async def _end(self, call, responder):
         if not self._intake.is_ended(call.batch_id):
-            held = self._holder.held_by_id.get(call.batch_id)
-            if held is not None:
-                self._holder.end(call.batch_id)
+            batch = self._manager.batches_by_id.get(call.batch_id)
+            if batch is not None:
+                self._manager.end(call.batch_id)
             elif not await self._reader.exists(call.batch_id):
                 await self._not_found(call, responder)
                 return
             await self._store.end(call.batch_id, END_TIMEOUT_S)
             # Sooner, the owner could not keep its texts if the store is away.
-            await self._passer.end(call.batch_id)
+            await self._owner_client.end(call.batch_id)
         await responder.send(200, (_JSON,), b"{}")
 
     async def end_for_peer(self, request, responder):
         """End a batch of ours that was ended at another entry."""
-        self._holder.end(passing.read_end(request.body))
+        self._manager.end(owner_clients.read_end(request.body))
         await responder.send(200)
 
     async def _not_found(self, call, responder):
--- a/packages/gateway/anvilwell_gateway/batches/retention.py
+++ b/packages/gateway/anvilwell_gateway/batches/retention.py
@@ -9,11 +9,11 @@
 
 # Results stay readable for 120 s after the submission; the rest is for
 # clocks that differ and reads under way.
-KEEP_S = 180.0
+ENDED_RETENTION_S = 180.0
 # The same for a batch of which all is listed and that nobody has ended: it
 # stays readable until then, unless its trainer is gone for good.
-KEEP_OPEN_S = 3600.0
-LOOK_S = 20.0
+OPEN_RETENTION_S = 3600.0
+CHECK_INTERVAL_S = 20.0
 
 _LOG = logs.get_logger(__name__)
 
@@ -38,14 +38,14 @@
         This VM.
     """
 
-    def __init__(self, batch_store, holder, owners, news, vm_id):
+    def __init__(self, batch_store, manager, owners, news, vm_id):
         self._store = batch_store
-        self._holder = holder
+        self._manager = manager
         self.owners = owners
         self._news = news
         self._vm_id = vm_id
         # When each was seen first. Clocks of the day differ between VMs.
-        self._left_at_by_batch = {}
+        self._orphaned_at_by_batch = {}
         self._task = None
 
     def start(self):
@@ -58,53 +58,55 @@
 
     async def _run(self):
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             await self.remove_old(asyncio.get_running_loop().time())
 
     async def remove_old(self, now):
         """Delete what was settled and opened long enough before `now`."""
         old = [
-            held
-            for held in self._holder.held_by_id.values()
-            if held.book.needs_no_runs and now - held.opened_at > _keep_s(held)
+            batch
+            for batch in self._manager.batches_by_id.values()
+            if batch.book.needs_no_runs
+            and now - batch.opened_at > _retention_s(batch)
         ]
-        for held in old:
-            owner = held.claimed.owner
-            if not await self._remove(held.batch_id, owner, held.chunks):
+        for batch in old:
+            owner = batch.claim.owner
+            if not await self._remove(batch.batch_id, owner, batch.chunks):
                 return
-            self._holder.forget(held)
-            await held.stop("the batch is deleted")
-        await self._remove_left(now)
+            self._manager.forget(batch)
+            await batch.stop("the batch is deleted")
+        await self._remove_orphaned(now)
 
-    async def _remove_left(self, now):
+    async def _remove_orphaned(self, now):
         """Delete what owners that are gone left `KEEP_S` before `now`."""
-        self._left_at_by_batch = {
-            batch_id: self._left_at_by_batch.get(batch_id, now)
-            for batch_id in self._left()
+        self._orphaned_at_by_batch = {
+            batch_id: self._orphaned_at_by_batch.get(batch_id, now)
+            for batch_id in self._orphaned()
         }
         old = [
-            (batch_id, self.owners.claimed_by_id[batch_id].owner)
-            for batch_id, left_at in self._left_at_by_batch.items()
-            if now - left_at > KEEP_S and self._is_ours(batch_id)
+            (batch_id, self.owners.claims_by_id[batch_id].owner)
+            for batch_id, orphaned_at in self._orphaned_at_by_batch.items()
+            if now - orphaned_at > ENDED_RETENTION_S
+            and self._is_deleted_here(batch_id)
         ]
         for batch_id, owner in old:
             if not await self._remove(batch_id, owner):
                 return
 
-    def _is_ours(self, batch_id):
+    def _is_deleted_here(self, batch_id):
         """Return whether this entry deletes what is left of a batch."""
         duty = f"delete {batch_id}"
         return choice.chosen(duty, self._news.lives_by_vm) == self._vm_id
 
-    def _left(self):
+    def _orphaned(self):
         """Return the ended batches whose owners are gone."""
         lives_by_vm = self._news.lives_by_vm
         return [
             batch_id
-            for batch_id, claimed in self.owners.claimed_by_id.items()
+            for batch_id, claim in self.owners.claims_by_id.items()
             if batch_id in self._news.ended
-            and batch_id not in self._holder.held_by_id
-            and lives_by_vm.get(claimed.owner.vm_id) != claimed.owner.life
+            and batch_id not in self._manager.batches_by_id
+            and lives_by_vm.get(claim.owner.vm_id) != claim.owner.incarnation
         ]
 
     async def _remove(self, batch_id, owner, chunks=None):
@@ -122,5 +124,5 @@
         return True
 
 
-def _keep_s(held):
-    return KEEP_S if held.book.is_ended else KEEP_OPEN_S
+def _retention_s(batch):
+    return ENDED_RETENTION_S if batch.book.is_ended else OPEN_RETENTION_S
--- a/packages/gateway/anvilwell_gateway/batches/saving.py
+++ b/packages/gateway/anvilwell_gateway/batches/saving.py
@@ -9,10 +9,10 @@
 # A new owner repeats at most so much of a text, plus what is too short, in
 # seconds. After a loss of all processes a long item has about a second to
 # spare.
-SAVE_S = 0.7
+SAVE_INTERVAL_S = 0.7
 # Unfinished texts of fewer events are made again in less than half a
 # second; whole ones are kept whatever their length.
-LEAST_EVENTS = 10
+MIN_SAVED_EVENTS = 10
 
 _LOG = logs.get_logger(__name__)
 
@@ -28,44 +28,44 @@
         The batch.
     """
 
-    def __init__(self, batch_store, held):
+    def __init__(self, batch_store, batch):
         self._store = batch_store
-        self._held = held
+        self._batch = batch
         self._saved_size = (0, 0)
 
     async def run(self):
         """Save until nothing of the batch runs any more."""
-        held = self._held
+        batch = self._batch
         while not self._is_settled:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(SAVE_S):
-                    await held.to_save.wait()
-            held.to_save.clear()
+                async with asyncio.timeout(SAVE_INTERVAL_S):
+                    await batch.to_save.wait()
+            batch.to_save.clear()
             await self._save()
 
     @property
     def _is_settled(self):
-        return self._held.book.needs_no_runs
+        return self._batch.book.needs_no_runs
 
     async def _save(self):
-        texts = self._held.texts(LEAST_EVENTS)
+        texts = self._batch.texts(MIN_SAVED_EVENTS)
         size = (
             sum(len(progress.events) for progress in texts),
             sum(progress.score is not None for progress in texts),
         )
         if self._is_settled or size == self._saved_size:
             return
-        self._held.is_unsaved = True
+        self._batch.is_unsaved = True
         try:
             await self._store.save(
-                self._held.batch_id, [progress.save() for progress in texts]
+                self._batch.batch_id, [progress.save() for progress in texts]
             )
         except exceptions.AnvilwellError as error:
             _LOG.log(
                 "texts-not-saved",
-                batch_id=self._held.batch_id,
+                batch_id=self._batch.batch_id,
                 cause=error.message,
             )
             return
-        self._held.is_unsaved = False
+        self._batch.is_unsaved = False
         self._saved_size = size
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -12,7 +12,7 @@
 from anvilwell_decisions.traffic import table
 from anvilwell_gateway import alarms
 from anvilwell_gateway.batches import runner as runners
-from anvilwell_gateway.batches import sharing as sharings
+from anvilwell_gateway.batches import slot_sharing as slot_sharings
 from anvilwell_gateway import measures
 from anvilwell_kernel import reasons
 from anvilwell_kernel.telemetry import counters
@@ -68,22 +68,22 @@
         directory,
         configuration,
         runner,
-        held_by_id,
+        batches_by_id,
         on_text,
         crash_tracker,
-        sharing,
+        slot_sharing,
     ):
         self._crash_tracker = crash_tracker
         self._directory = directory
         self._configuration = configuration
         self._runner = runner
-        self._held_by_id = held_by_id
+        self._batches_by_id = batches_by_id
         self._on_text = on_text
         self._dispatch = dispatches.Dispatch()
         self._moved = moves.Moved()
-        self._sharing = sharing
-        sharing.use_of = self._use
-        sharing.on_change = self._limits_changed
+        self._slot_sharing = slot_sharing
+        slot_sharing.use_of = self._use
+        slot_sharing.on_change = self._limits_changed
         self._waiting_by_service = collections.Counter()
         # When places were last dealt, in event-loop time.
         self._dealt_at = float("-inf")
@@ -136,10 +136,10 @@
         """
         waiting = sorted(
             work
-            for held in self._held_by_id.values()
-            for work in self._works(held)
+            for batch in self._batches_by_id.values()
+            for work in self._works(batch)
         )
-        has_runs = any(h.runs_by_item for h in self._held_by_id.values())
+        has_runs = any(h.runs_by_item for h in self._batches_by_id.values())
         if not waiting and not has_runs:
             self._is_behind = True
             self._changed_ids.clear()
@@ -153,7 +153,7 @@
             work.service for work in waiting if not self._start(work, now)
         )
         for service in self._services:
-            self._sharing.ask(service)
+            self._slot_sharing.ask(service)
         return True
 
     def _deal(self, now):
@@ -161,20 +161,20 @@
         if now - self._dealt_at < RETRY_S:
             return
         self._dealt_at = now
-        if self._sharing.look(self._services):
-            self._dispatch.set_limits(self._sharing.limit)
+        if self._slot_sharing.look(self._services):
+            self._dispatch.set_limits(self._slot_sharing.limit)
 
     def _use(self, service):
         """Return the `sharings.Use` of a service's places."""
         self._learn_replicas({service})
-        return sharings.Use(
+        return slot_sharings.SlotUsage(
             self._waiting_by_service[service],
             self._dispatch.workers(service),
         )
 
     def _limits_changed(self):
         """Start what may start now that other places may be used."""
-        self._dispatch.set_limits(self._sharing.limit)
+        self._dispatch.set_limits(self._slot_sharing.limit)
         if self._waiting_by_service.total():
             self._look_soon()
 
@@ -199,17 +199,17 @@
         """Stop runs that should go on at a faster replica."""
         runs = [
             run._replace(
-                events=held.book.progress_by_id[run.item_id].last_number
+                events=batch.book.progress_by_id[run.item_id].last_number
             )
-            for held in self._held_by_id.values()
-            for run in held.runs_by_item.values()
+            for batch in self._batches_by_id.values()
+            for run in batch.runs_by_item.values()
         ]
         self._dispatch.set_runs(runs, self._tokens_by_service(), now)
         movable = [run for run in runs if self._may_move(run)]
         for move in self._dispatch.moves(movable, now):
             run = move.run
-            held = self._held_by_id[run.batch_id]
-            held.tasks_by_item[run.item_id].cancel(str(move.cause))
+            batch = self._batches_by_id[run.batch_id]
+            batch.tasks_by_item[run.item_id].cancel(str(move.cause))
             self._moved.moved(move, now)
             counters.count_retry(reasons.Retry.HEDGE, run.service)
             _LOG.log(
@@ -226,8 +226,8 @@
             )
 
     def _may_move(self, run):
-        held = self._held_by_id[run.batch_id]
-        return not held.book.is_ended and held.route.is_resumable
+        batch = self._batches_by_id[run.batch_id]
+        return not batch.book.is_ended and batch.route.is_resumable
 
     def _tokens_by_service(self):
         """Return what an engine of each service can hold, in tokens."""
@@ -237,87 +237,87 @@
             name: service.memory_tokens for name, service in services.items()
         }
 
-    def _works(self, held):
+    def _works(self, batch):
         """Return a `Work` for each item of `held` that should run."""
-        book = held.book
+        book = batch.book
         items = [
             book.items_by_id[item_id]
             for item_id in book.waiting_ids()
-            if not self._is_held_back(held, item_id)
+            if not self._is_held_back(batch, item_id)
         ]
         if not items:
             return []
-        service = self._service(held)
+        service = self._service(batch)
         if service is None:
             return []
-        is_late = asyncio.get_running_loop().time() > held.late_at
+        is_late = asyncio.get_running_loop().time() > batch.late_at
         return [
             dispatches.Work(
                 (
                     orders.place(
-                        held.sequence, is_late, self._has_text(held, item)
+                        batch.sequence, is_late, self._has_text(batch, item)
                     ),
                     -item.expected_tokens,
                 ),
-                held.batch_id,
+                batch.batch_id,
                 item.item_id,
                 item.group,
                 service,
-                held.submission.model,
-                held.submission.min_version,
-                held.route.name,
+                batch.submission.model,
+                batch.submission.min_version,
+                batch.route.name,
                 item.expected_tokens,
-                held.book.progress_by_id[item.item_id].last_number,
+                batch.book.progress_by_id[item.item_id].last_number,
                 item.prompt,
             )
             for item in items
         ]
 
-    def _is_held_back(self, held, item_id):
+    def _is_held_back(self, batch, item_id):
         """Return whether an item ends the replicas that run it."""
         if self._crash_tracker.is_empty:
             return False
-        fingerprint = self._fingerprint(held, item_id)
+        fingerprint = self._fingerprint(batch, item_id)
         return self._crash_tracker.is_item_held_back(fingerprint)
 
-    def _fingerprint(self, held, item_id):
-        known = held.fingerprints_by_item
+    def _fingerprint(self, batch, item_id):
+        known = batch.fingerprints_by_item
         if item_id not in known:
             known[item_id] = self._runner.fingerprint(
-                held.book.items_by_id[item_id], held.submission
+                batch.book.items_by_id[item_id], batch.submission
             )
         return known[item_id]
 
     @staticmethod
-    def _has_text(held, item):
-        return bool(held.book.progress_by_id[item.item_id].events)
+    def _has_text(batch, item):
+        return bool(batch.book.progress_by_id[item.item_id].events)
 
-    def _service(self, held):
+    def _service(self, batch):
         """Return the service that takes the batch's items now."""
         route = self._configuration.routes.find(
-            held.submission.host, held.submission.path
+            batch.submission.host, batch.submission.path
         )
         if route is None:
-            held.book.abandon_rest()
-            held.has_ready.set()
+            batch.book.abandon_rest()
+            batch.has_ready.set()
             return None
-        if not table.may_take(route, held.service):
-            held.service = table.choose_service(route, random)
-        return held.service
+        if not table.may_take(route, batch.service):
+            batch.service = table.choose_service(route, random)
+        return batch.service
 
     def _start(self, work, now):
         """Start one item if a replica takes it now; return whether."""
         replica_id = self._dispatch.choose(work, now)
         if replica_id is None:
             return False
-        held = self._held_by_id[work.batch_id]
-        held.book.mark_running(work.item_id)
+        batch = self._batches_by_id[work.batch_id]
+        batch.book.mark_running(work.item_id)
         worker = self._dispatch.worker(replica_id)
         self._dispatch.placed(work, replica_id)
-        progress = held.book.progress_by_id[work.item_id]
-        if not held.route.is_resumable:
+        progress = batch.book.progress_by_id[work.item_id]
+        if not batch.route.is_resumable:
             progress.restart()
-        held.runs_by_item[work.item_id] = dispatches.Run(
+        batch.runs_by_item[work.item_id] = dispatches.Run(
             work.batch_id,
             work.item_id,
             replica_id,
@@ -330,21 +330,21 @@
             work.prompt,
             self._moved.times(work.batch_id, work.item_id),
         )
-        task = asyncio.create_task(self._run(held, work, worker))
+        task = asyncio.create_task(self._run(batch, work, worker))
         # Not in the task: one that is cancelled early never runs at all.
         task.add_done_callback(
-            functools.partial(self._release, held, work, worker)
+            functools.partial(self._release, batch, work, worker)
         )
-        held.tasks_by_item[work.item_id] = task
+        batch.tasks_by_item[work.item_id] = task
         return True
 
-    def _release(self, held, work, worker, task):
+    def _release(self, batch, work, worker, task):
         """Free the slot and the item of a run that is over."""
         worker.running -= 1
-        if held.tasks_by_item.get(work.item_id) is task:
-            del held.tasks_by_item[work.item_id]
-            del held.runs_by_item[work.item_id]
-            held.book.mark_stopped(work.item_id)
+        if batch.tasks_by_item.get(work.item_id) is task:
+            del batch.tasks_by_item[work.item_id]
+            del batch.runs_by_item[work.item_id]
+            batch.book.mark_stopped(work.item_id)
         error = None if task.cancelled() else task.exception()
         if error is not None:
             now = asyncio.get_running_loop().time()
@@ -352,19 +352,19 @@
             _LOG.log("run-fault", item_id=work.item_id, cause=repr(error))
         self._look_soon()
 
-    async def _run(self, held, work, worker):
-        progress = held.book.progress_by_id[work.item_id]
+    async def _run(self, batch, work, worker):
+        progress = batch.book.progress_by_id[work.item_id]
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         known = progress.last_number
         order = runners.Order(
-            held.book.items_by_id[work.item_id],
-            held.submission.host,
+            batch.book.items_by_id[work.item_id],
+            batch.submission.host,
             progress,
-            held.submission.min_version,
-            held.route.one_version,
-            max(0.0, held.give_up_at - started_at),
-            held.submission.organisation,
+            batch.submission.min_version,
+            batch.route.one_version,
+            max(0.0, batch.give_up_at - started_at),
+            batch.submission.organisation,
         )
         ended = runners.Ended(runners.End.STOPPED)
         try:
@@ -379,7 +379,7 @@
             write = _LOG.routine if is_whole else _LOG.log
             write(
                 "item-run",
-                batch_id=held.batch_id,
+                batch_id=batch.batch_id,
                 item_id=work.item_id,
                 replica=worker.replica.replica_id,
                 end=str(ended.end),
@@ -390,25 +390,27 @@
                 took_s=round(took_s, 3),
             )
         if ended.is_cut:
-            fingerprint = self._fingerprint(held, work.item_id)
+            fingerprint = self._fingerprint(batch, work.item_id)
             await self._crash_tracker.note_cut(fingerprint, worker.replica)
         elif (
             ended.end is runners.End.WHOLE and not self._crash_tracker.is_empty
         ):
-            self._crash_tracker.answered(self._fingerprint(held, work.item_id))
-        self._note(held, work, worker, ended)
+            self._crash_tracker.answered(
+                self._fingerprint(batch, work.item_id)
+            )
+        self._note(batch, work, worker, ended)
 
-    def _note(self, held, work, worker, ended):
+    def _note(self, batch, work, worker, ended):
         """Take in how a run ended."""
         now = asyncio.get_running_loop().time()
         if ended.version:
             seen = facts.ModelVersion(work.model, ended.version)
             worker.saw_versions([seen])
-        book = held.book
+        book = batch.book
         if ended.end is runners.End.WHOLE:
-            self._observe(held, work, now)
+            self._observe(batch, work, now)
             book.mark_text_complete(work.item_id)
-            held.has_ready.set()
+            batch.has_ready.set()
             self._on_text()
             return
         counters.count_retry(_RETRIES_BY_END[ended.end], work.service)
@@ -421,16 +423,16 @@
         elif ended.end is runners.End.OTHER_REPLICA:
             self._directory.set_aside(worker.replica.replica_id)
         elif ended.end is runners.End.TOO_OLD:
-            self._restart(held, work.item_id)
+            self._restart(batch, work.item_id)
         elif ended.end is runners.End.BROKEN:
             worker.not_before = now + dispatches.BROKEN_PAUSE_S
         else:
             worker.not_before = now + dispatches.SILENT_PAUSE_S
-        held.has_ready.set()
+        batch.has_ready.set()
 
-    def _observe(self, held, work, now):
+    def _observe(self, batch, work, now):
         """Take in how long a whole text is, and what its moves brought."""
-        events = held.book.progress_by_id[work.item_id].last_number
+        events = batch.book.progress_by_id[work.item_id].last_number
         self._dispatch.lengths.observe(work.kind, work.guess, events)
         brought = self._moved.ended(work.batch_id, work.item_id, events, now)
         if brought is None:
@@ -438,7 +440,7 @@
         measures.count_move(brought.gained_s)
         _LOG.log(
             "item-move-ended",
-            batch_id=held.batch_id,
+            batch_id=batch.batch_id,
             item_id=work.item_id,
             moves=brought.moves,
             expected_s=round(brought.expected_s, 3),
@@ -448,7 +450,7 @@
         )
 
     @staticmethod
-    def _restart(held, item_id):
+    def _restart(batch, item_id):
         """Forget a text that no replica can go on with."""
-        if held.route.one_version:
-            held.book.progress_by_id[item_id].restart()
+        if batch.route.one_version:
+            batch.book.progress_by_id[item_id].restart()
--- a/packages/gateway/anvilwell_gateway/batches/scorer.py
+++ b/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
@@ -20,7 +20,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Scorer:
+class ScoringScheduler:
     """Makes the scoring calls of the batches that are owned here.
 
     A call begins once the last event of its text has come, takes the way
@@ -41,13 +41,13 @@
     """
 
     def __init__(
-        self, forwarder, directory, configuration, dialect, held_by_id
+        self, forwarder, directory, configuration, dialect, batches_by_id
     ):
         self._forwarder = forwarder
         self._directory = directory
         self._configuration = configuration
         self._dialect = dialect
-        self._held_by_id = held_by_id
+        self._batches_by_id = batches_by_id
         self._pacers_by_service = collections.defaultdict(scoring.Pacer)
         self._alarm = alarms.Alarm(self.schedule)
 
@@ -59,17 +59,17 @@
         """Start all scoring calls that may start now."""
         self._alarm.stop()
         unscored = [
-            (held, item_id)
-            for held in self._held_by_id.values()
-            for item_id in held.book.unscored_ids()
+            (batch, item_id)
+            for batch in self._batches_by_id.values()
+            for item_id in batch.book.unscored_ids()
         ]
         if not unscored:
             return
         now = asyncio.get_running_loop().time()
         slots_by_service = self._slots_by_service()
         started = [
-            self._start(held, item_id, slots_by_service, now)
-            for held, item_id in unscored
+            self._start(batch, item_id, slots_by_service, now)
+            for batch, item_id in unscored
         ]
         if not all(started):
             self._alarm.later(RETRY_S)
@@ -81,27 +81,27 @@
             slots_by_service[replica.service] += replica.slots
         return slots_by_service
 
-    def _start(self, held, item_id, slots_by_service, now):
+    def _start(self, batch, item_id, slots_by_service, now):
         """Start the call of one item; return whether it was possible."""
-        progress = held.book.progress_by_id[item_id]
+        progress = batch.book.progress_by_id[item_id]
         if now < progress.scoring_not_before:
             return False
-        scoring_call = held.book.items_by_id[item_id].scoring_call
+        scoring_call = batch.book.items_by_id[item_id].scoring_call
         route = self._route(scoring_call)
         if route is None:
             return False
         pacer = self._pacer(route, slots_by_service)
         if not pacer.has_room(now):
             return False
-        held.book.mark_scoring(item_id)
+        batch.book.mark_scoring(item_id)
         pacer.running += 1
         task = asyncio.create_task(
-            self._score(held, item_id, scoring_call, route, pacer)
+            self._score(batch, item_id, scoring_call, route, pacer)
         )
-        held.scorings_by_item[item_id] = task
+        batch.scorings_by_item[item_id] = task
         # Not in the task: one that is cancelled early never runs at all.
         task.add_done_callback(
-            functools.partial(self._release, held, item_id, pacer)
+            functools.partial(self._release, batch, item_id, pacer)
         )
         return True
 
@@ -120,51 +120,51 @@
         pacer.set_slots(slots)
         return pacer
 
-    def _release(self, held, item_id, pacer, task):
+    def _release(self, batch, item_id, pacer, task):
         pacer.running -= 1
-        if held.scorings_by_item.get(item_id) is task:
-            del held.scorings_by_item[item_id]
-        held.book.mark_not_scored(item_id)
+        if batch.scorings_by_item.get(item_id) is task:
+            del batch.scorings_by_item[item_id]
+        batch.book.mark_not_scored(item_id)
         error = None if task.cancelled() else task.exception()
         if error is not None:
-            self._pause(held, item_id)
+            self._pause(batch, item_id)
             _LOG.log("scoring-fault", item_id=item_id, cause=repr(error))
-        held.has_ready.set()
+        batch.has_ready.set()
         self._alarm.soon()
 
-    def _pause(self, held, item_id):
+    def _pause(self, batch, item_id):
         """Let an item wait before its next call."""
-        progress = held.book.progress_by_id[item_id]
+        progress = batch.book.progress_by_id[item_id]
         progress.scoring_rounds += 1
         pause_s = scoring.pause_s(progress.scoring_rounds)
         now = asyncio.get_running_loop().time()
         progress.scoring_not_before = now + pause_s
 
-    async def _score(self, held, item_id, scoring_call, route, pacer):
+    async def _score(self, batch, item_id, scoring_call, route, pacer):
         """Make one round of attempts at the score of one item."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         limit_s = pacer.limit_s(route)
-        attempt = self._attempts(held, scoring_call, route, limit_s)
+        attempt = self._attempts(batch, scoring_call, route, limit_s)
         seal, cause = await self._seal(attempt, pacer)
         took_s = loop.time() - started_at
         if seal:
             pacer.answered(took_s)
-            held.book.mark_scored(item_id, seal)
+            batch.book.mark_scored(item_id, seal)
         else:
-            most = max(route.max_replicas, held.route.max_replicas)
-            held.book.mark_not_scored(item_id, attempt.failures, most)
-            self._pause(held, item_id)
+            most = max(route.max_replicas, batch.route.max_replicas)
+            batch.book.mark_not_scored(item_id, attempt.failures, most)
+            self._pause(batch, item_id)
         end = "scored" if seal else "failed"
         measures.record(measures.SCORINGS, took_s, end=end)
         write = _LOG.routine if seal else _LOG.log
         write(
             "item-scoring",
-            batch_id=held.batch_id,
+            batch_id=batch.batch_id,
             item_id=item_id,
             request_id=scoring_call.call_id,
             end=end,
-            state=held.book.state(item_id).value,
+            state=batch.book.state(item_id).value,
             cause=cause,
             replicas=attempt.tried,
             failures=attempt.failures,
@@ -172,7 +172,7 @@
             took_s=round(took_s, 3),
         )
 
-    def _attempts(self, held, scoring_call, route, limit_s):
+    def _attempts(self, batch, scoring_call, route, limit_s):
         """Return the `attempts.Attempts` at one scoring call."""
         request = messages.Request(
             "POST",
@@ -180,7 +180,7 @@
             self._dialect.scoring_headers(scoring_call),
             scoring_call.body,
             asyncio.get_running_loop().time(),
-            organisation=held.submission.organisation,
+            organisation=batch.submission.organisation,
         )
         call = dialects.Call(scoring_call.call_id, limit_s)
         return self._forwarder.attempts(route, call, request)
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -2,18 +2,18 @@
 
 import asyncio
 
-from anvilwell_gateway.batches import desk as desks
-from anvilwell_gateway.batches import handing
-from anvilwell_gateway.batches import holder as holders
 from anvilwell_gateway.batches import homes as all_homes
 from anvilwell_gateway.batches import intake as intakes
-from anvilwell_gateway.batches import needing
+from anvilwell_gateway.batches import manager as managers
+from anvilwell_gateway.batches import notice_subscribers
+from anvilwell_gateway.batches import owner_client
 from anvilwell_gateway.batches import owners
-from anvilwell_gateway.batches import passing
 from anvilwell_gateway.batches import records
+from anvilwell_gateway.batches import request_handler as request_handlers
 from anvilwell_gateway.batches import retention
 from anvilwell_gateway.batches import runner as runners
-from anvilwell_gateway.batches import sharing
+from anvilwell_gateway.batches import slot_sharing
+from anvilwell_gateway.batches import submission_forwarding
 from anvilwell_gateway import notices
 from anvilwell_kernel import exceptions
 
@@ -44,8 +44,10 @@
         self._owners = owners.Owners(fleet.store)
         fleet.follow(self._owners)
         homes = all_homes.Homes(fleet.news, fleet.directory, self._owners)
-        self.sharing = sharing.Sharing(fleet.vm_id, fleet.news, homes)
-        self.holder = holders.Holder(
+        self.slot_sharing = slot_sharing.SlotSharing(
+            fleet.vm_id, fleet.news, homes
+        )
+        self.manager = managers.BatchManager(
             batch_store,
             fleet.directory,
             fleet.configuration,
@@ -53,40 +55,42 @@
             live_calls.forwarder,
             platform.dialect,
             live_calls.crash_tracker,
-            self.sharing,
+            self.slot_sharing,
         )
-        fleet.store.listen_regained(self.holder.save_soon)
+        fleet.store.listen_regained(self.manager.save_soon)
         self.notices = notices.Listener(
             fleet.directory,
-            self.holder.needs_by_model,
-            needing.Needing(
+            self.manager.min_versions_by_model,
+            notice_subscribers.NoticeSubscribers(
                 fleet.news, self._owners, fleet.configuration, homes
             ),
         )
-        self._hander = handing.Hander(fleet.vm_id, fleet.news, homes)
+        self._submission_forwarder = submission_forwarding.SubmissionForwarder(
+            fleet.vm_id, fleet.news, homes
+        )
         self._intake = intakes.Intake(
             batch_store,
-            self.holder,
+            self.manager,
             fleet.presence,
             fleet.news,
             self._owners,
             platform.dialect,
-            self._hander,
+            self._submission_forwarder,
             homes,
         )
-        self.passer = passing.Passer(
+        self.owner_client = owner_client.OwnerClient(
             self._owners, fleet.news, fleet.vm_id, fleet.failure_domain
         )
         self.retention = retention.Retention(
-            batch_store, self.holder, self._owners, fleet.news, fleet.vm_id
+            batch_store, self.manager, self._owners, fleet.news, fleet.vm_id
         )
-        self.desk = desks.Desk(
+        self.request_handler = request_handlers.BatchRequestHandler(
             batch_store,
-            self.holder,
+            self.manager,
             self._intake,
             platform.dialect,
             self._owners,
-            self.passer,
+            self.owner_client,
             budget,
             self._may_vouch,
         )
@@ -96,10 +100,14 @@
     def from_config(cls, platform, fleet, live_calls, pool, peering, budget):
         """Return an entry's batches; peers ask for them by `peering`."""
         batches = cls(platform, fleet, live_calls, pool, budget)
-        peering.handle(handing.TARGET, batches.take)
-        peering.handle(passing.TARGET, batches.desk.answer_peer)
-        peering.handle(passing.END_TARGET, batches.desk.end_for_peer)
-        peering.handle(sharing.TARGET, batches.sharing.answer)
+        peering.handle(submission_forwarding.TARGET, batches.take)
+        peering.handle(
+            owner_client.TARGET, batches.request_handler.answer_peer
+        )
+        peering.handle(
+            owner_client.END_TARGET, batches.request_handler.end_for_peer
+        )
+        peering.handle(slot_sharing.TARGET, batches.slot_sharing.answer)
         peering.handle(notices.TARGET, batches.notices.answer)
         return batches
 
@@ -122,10 +130,10 @@
         """Take no new batches: this VM is stopping."""
         self._intake.is_draining = True
 
-    async def let_go(self):
+    async def release(self):
         """Leave all batches to other entries."""
         await self._intake.stop()
-        await self.holder.let_go()
+        await self.manager.release()
 
     async def stop(self):
         """Stop everything."""
@@ -133,18 +141,22 @@
             self._beginning.cancel()
         await self.retention.stop()
         await self._intake.stop()
-        await self.holder.stop()
-        self.passer.close()
-        self._hander.close()
-        self.sharing.close()
+        await self.manager.stop()
+        self.owner_client.close()
+        self._submission_forwarder.close()
+        self.slot_sharing.close()
 
     async def take(self, request, responder):
         """Accept a batch that another entry was given."""
-        handed = handing.read_request(request.body)
-        route = self._fleet.configuration.routes.find(handed.host, handed.path)
+        submission_request = submission_forwarding.read_request(request.body)
+        route = self._fleet.configuration.routes.find(
+            submission_request.host, submission_request.path
+        )
         if route is None or not route.is_batch:
             raise exceptions.Refused("the route is not known here")
-        await self.desk.submit_peer(route, handed, responder)
+        await self.request_handler.submit_peer(
+            route, submission_request, responder
+        )
 
     def _may_vouch(self):
         """Return whether no other process can own what this one holds.
--- a/packages/gateway/anvilwell_gateway/batches/sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
@@ -26,7 +26,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Use(typing.NamedTuple):
+class SlotUsage(typing.NamedTuple):
     """What this entry does at the replicas of one service.
 
     ``waiting`` counts its items that find no place.
@@ -36,7 +36,7 @@
     workers: list
 
 
-class Sharing:
+class SlotSharing:
     """Knows which places this entry may use, lends and borrows some.
 
     Parameters
--- a/packages/gateway/anvilwell_gateway/batches/handing.py
+++ b/packages/gateway/anvilwell_gateway/batches/submission_forwarding.py
@@ -25,7 +25,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Handed(enum.StrEnum):
+class ForwardOutcome(enum.StrEnum):
     """What became of a submission that was handed on."""
 
     ACCEPTED = "accepted"
@@ -34,7 +34,7 @@
     UNKNOWN = "unknown"
 
 
-class Parcel(typing.NamedTuple):
+class ForwardedSubmission(typing.NamedTuple):
     """A submission as it came, without the caller's key."""
 
     target: str
@@ -43,7 +43,7 @@
     organisation: str = ""
 
 
-_PARCEL = pydantic.TypeAdapter(Parcel)
+_FORWARDED_SUBMISSION = pydantic.TypeAdapter(ForwardedSubmission)
 
 
 def read_request(body):
@@ -54,19 +54,19 @@
     exceptions.BadRequest
         If there is none.
     """
-    parcel = bodies.read(_PARCEL, body, "submission")
+    submission = bodies.read(_FORWARDED_SUBMISSION, body, "submission")
     now = asyncio.get_running_loop().time()
     return messages.Request(
         "POST",
-        parcel.target,
-        parcel.headers,
-        parcel.body,
+        submission.target,
+        submission.headers,
+        submission.body,
         now,
-        organisation=parcel.organisation,
+        organisation=submission.organisation,
     )
 
 
-class Hander:
+class SubmissionForwarder:
     """Hands submissions on.
 
     Parameters
@@ -85,7 +85,7 @@
         self._homes = homes
         self._pool = client.Pool(asyncio.get_running_loop().time, True)
 
-    async def hand(self, route, model, request):
+    async def forward(self, route, model, request):
         """Hand `request` on, if another entry is to run the model's batch.
 
         Returns
@@ -95,40 +95,40 @@
         """
         home = self._homes.find(all_homes.service_of(route), model)
         if home in (None, self._vm_id):
-            return Handed.NOT
+            return ForwardOutcome.NOT
         address = self._news.addresses_by_vm[home]
-        parcel = Parcel(
+        submission = ForwardedSubmission(
             request.target,
             request.headers,
             request.body,
             request.organisation,
         )
-        question = bodies.question(TARGET, address, parcel)
+        question = bodies.question(TARGET, address, submission)
         try:
             reply, _ = await self._pool.ask(
                 home, address, question, TIMEOUT_S, MAX_ANSWER_BYTES
             )
         except exceptions.BackendFailed as error:
             not_run = error.verdict is verdicts.Verdict.NOT_RUN
-            handed = Handed.NOT if not_run else Handed.UNKNOWN
+            outcome = ForwardOutcome.NOT if not_run else ForwardOutcome.UNKNOWN
             cause = error.message
         else:
-            handed = _handed(reply.status)
+            outcome = _classify(reply.status)
             cause = f"status {reply.status}"
-        if handed is not Handed.ACCEPTED:
-            _LOG.log("batch-not-handed", home=home, end=handed, cause=cause)
-        return handed
+        if outcome is not ForwardOutcome.ACCEPTED:
+            _LOG.log("batch-not-handed", home=home, end=outcome, cause=cause)
+        return outcome
 
     def close(self):
         """Close the connections."""
         self._pool.close()
 
 
-def _handed(status):
+def _classify(status):
     if status == _ACCEPTED:
-        return Handed.ACCEPTED
+        return ForwardOutcome.ACCEPTED
     # A refusal is a promise; a fault of the submission itself is found
     # again here.
     if status == _REFUSED or 400 <= status < 500:
-        return Handed.NOT
-    return Handed.UNKNOWN
+        return ForwardOutcome.NOT
+    return ForwardOutcome.UNKNOWN
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -75,7 +75,7 @@
             self.fleet.last_contact_at,
             claims.Claims(self.fleet.store, self.fleet.vm_id),
             platform.engine_at,
-            self._batches.holder.needs_by_model,
+            self._batches.manager.min_versions_by_model,
         )
         self._metrics = metrics_page.MetricsPage(
             settings.metrics, self._gauge_values
@@ -89,7 +89,7 @@
     @property
     def batches(self):
         """The batches that this entry owns, as held_by_id."""
-        return self._batches.holder.held_by_id
+        return self._batches.manager.batches_by_id
 
     @property
     def retention(self):
@@ -110,7 +110,7 @@
     @property
     def usage_holder(self):
         """The VM that reports usage, as far as is known here, or None."""
-        return self.live_calls.usage.holder
+        return self.live_calls.usage.manager
 
     @property
     def crash_tracker(self):
@@ -170,7 +170,7 @@
         loop = asyncio.get_running_loop()
         leave_at = loop.time() + LEAVE_S
         await self._stand_in.stop()
-        await self._batches.let_go()
+        await self._batches.release()
         await self.live_calls.usage.let_go()
         await self.fleet.presence.stop()
         await asyncio.sleep(leave_at - loop.time())
@@ -205,7 +205,7 @@
         """Return each `measures.GaugeValue` as of now."""
         return [
             *self.fleet.gauge_values(),
-            *self._batches.holder.gauge_values(),
+            *self._batches.manager.gauge_values(),
             *self._batches.sharing.gauge_values(),
             *self.live_calls.gauge_values(),
             measures.GaugeValue("bytes_held", self._budget.held_bytes),
--- a/packages/gateway/anvilwell_gateway/front.py
+++ b/packages/gateway/anvilwell_gateway/front.py
@@ -137,20 +137,22 @@
 
     async def _dispatch(self, call, request, responder):
         callers = self._live_calls.callers
-        desk = self._batches.desk
+        request_handler = self._batches.request_handler
         batch_call = self._dialect.batch_call(request)
         if batch_call is not None:
             await self._wait_for(lambda: self._fleet.configuration.current)
             self._check_configured()
             batch_call = callers.admit_batch_call(batch_call, request)
-            await desk.answer(batch_call, call.request_id, responder)
+            await request_handler.answer(
+                batch_call, call.request_id, responder
+            )
             return
         await self._wait_for(lambda: self._fleet.is_informed)
         self._check_configured()
         route, request = callers.admit(request)
         if route.is_batch:
             await self._wait_for(lambda: self._fleet.presence.is_registered)
-            await desk.submit(route, call, request, responder)
+            await request_handler.submit(route, call, request, responder)
         else:
             await self._live_calls.answer(route, call, request, responder)
 
--- a/packages/gateway/anvilwell_gateway/notices.py
+++ b/packages/gateway/anvilwell_gateway/notices.py
@@ -56,7 +56,7 @@
     addresses of its engines.
     """
 
-    needs_by_model: dict[str, int]
+    min_versions_by_model: dict[str, int]
     entries: tuple[str, ...] = ()
     engines: int = 0
 
@@ -102,10 +102,10 @@
         Which entries need notices.
     """
 
-    def __init__(self, directory, needs_by_model, needing):
+    def __init__(self, directory, min_versions_by_model, notice_subscribers):
         self._directory = directory
-        self._needs_by_model = needs_by_model
-        self._needing = needing
+        self._min_versions_by_model = min_versions_by_model
+        self._notice_subscribers = notice_subscribers
         self._digests_by_service = {}
         directory.listen(self._replicas_changed)
 
@@ -114,8 +114,10 @@
         notice = read(request.body)
         self._directory.note(notice)
         service = self._directory.service_at(notice.address)
-        entries = tuple(self._needing.find(service))
-        answer = Answer(self._needs_by_model(), entries, self._digest(service))
+        entries = tuple(self._notice_subscribers.find(service))
+        answer = Answer(
+            self._min_versions_by_model(), entries, self._digest(service)
+        )
         await responder.send(200, (), cbor2.dumps(answer))
 
     def _digest(self, service):
@@ -163,32 +165,35 @@
             made under, by model; of the entries that answered.
         """
         telling = self._audience.begin()
-        needs_by_model = {}
+        min_versions_by_model = {}
         await self._tell_each(
-            telling.first(), telling, cbor2.dumps(notice), needs_by_model
+            telling.first(),
+            telling,
+            cbor2.dumps(notice),
+            min_versions_by_model,
         )
-        return needs_by_model
+        return min_versions_by_model
 
-    async def _tell_each(self, vm_ids, telling, body, needs_by_model):
+    async def _tell_each(self, vm_ids, telling, body, min_versions_by_model):
         """Tell these and whomever they name; note what batches need."""
         await asyncio.gather(
             *(
-                self._tell(vm_id, telling, body, needs_by_model)
+                self._tell(vm_id, telling, body, min_versions_by_model)
                 for vm_id in vm_ids
             )
         )
 
-    async def _tell(self, vm_id, telling, body, needs_by_model):
+    async def _tell(self, vm_id, telling, body, min_versions_by_model):
         answer = await self._ask(vm_id, body)
         if answer is None:
             others = telling.failed(vm_id)
         else:
             others = telling.answered(vm_id, answer.entries)
             self.engines = Heard(answer.engines, self._clock())
-            for model, version in answer.needs_by_model.items():
-                known = needs_by_model.get(model, 0)
-                needs_by_model[model] = max(known, version)
-        await self._tell_each(others, telling, body, needs_by_model)
+            for model, version in answer.min_versions_by_model.items():
+                known = min_versions_by_model.get(model, 0)
+                min_versions_by_model[model] = max(known, version)
+        await self._tell_each(others, telling, body, min_versions_by_model)
 
     async def _ask(self, vm_id, body):
         """Return an entry's `Answer`, or None."""
--- a/packages/gateway/anvilwell_gateway/standing_in.py
+++ b/packages/gateway/anvilwell_gateway/standing_in.py
@@ -57,7 +57,7 @@
         heard,
         claims,
         engine_at,
-        needs_by_model,
+        min_versions_by_model,
     ):
         self._vm_id = vm_id
         self._directory = directory
@@ -66,7 +66,7 @@
         self._heard = heard
         self._claims = claims
         self._engine_at = engine_at
-        self._needs_by_model = needs_by_model
+        self._min_versions_by_model = min_versions_by_model
         self._clock = asyncio.get_running_loop().time
         self._duty_since_by_domain = {}
         self._looked_at = self._clock()
@@ -144,7 +144,7 @@
     def _wait_s(self, replica, model, had):
         """Return how long to wait before a load, None for no load now."""
         wanted = self._versions.wanted_by_model[model]
-        needs = self._needs_by_model().get(model)
+        needs = self._min_versions_by_model().get(model)
         lag = None if needs is None else max(0, wanted - needs)
         models = {one.model for one in replica.versions}.intersection(
             self._versions.wanted_by_model
--- a/packages/gateway/tests/batches/test_committing.py
+++ b/packages/gateway/tests/batches/test_committing.py
@@ -17,7 +17,7 @@
     def __init__(self):
         self.chunks = []
 
-    async def append(self, batch_id, claimed, chunk, results):
+    async def append(self, batch_id, claim, chunk, results):
         now = asyncio.get_running_loop().time()
         self.chunks.append((round(now, 3), len(results)))
 
@@ -33,16 +33,16 @@
     store = _Store()
 
     async def scenario():
-        held = types.SimpleNamespace(
+        batch = types.SimpleNamespace(
             batch_id="b",
-            claimed=None,
+            claim=None,
             book=book,
             chunks=0,
             has_ready=asyncio.Event(),
             begin_write=lambda: None,
             list=book.mark_listed,
         )
-        committer = committing.Committer(store, held, None)
+        committer = committing.Committer(store, batch, None)
         task = asyncio.create_task(committer.run())
         began_at = 0.0
         for number, at in enumerate(whole_at):
@@ -50,7 +50,7 @@
             began_at = at
             book.mark_running(f"i{number}")
             book.mark_text_complete(f"i{number}")
-            held.has_ready.set()
+            batch.has_ready.set()
         await asyncio.sleep(2 * committing.GATHER_S)
         task.cancel()
 
--- a/packages/gateway/tests/batches/test_homes.py
+++ b/packages/gateway/tests/batches/test_homes.py
@@ -29,8 +29,8 @@
         replicas_by_id={replica.replica_id: replica for replica in known}
     )
     owners = types.SimpleNamespace(
-        claimed_by_id={
-            f"{model}-{step}": records.Claimed(
+        claims_by_id={
+            f"{model}-{step}": records.Claim(
                 records.Owner("vm", "life", items, "", step, 1, "lm", model),
                 1,
             )
--- a/packages/gateway/tests/batches/test_holder.py
+++ b/packages/gateway/tests/batches/test_manager.py
@@ -5,12 +5,12 @@
 
 from anvilwell_decisions.traffic import facts
 from anvilwell_decisions.traffic import table
-from anvilwell_gateway.batches import held as helds
-from anvilwell_gateway.batches import holder as holders
+from anvilwell_gateway.batches import manager as managers
+from anvilwell_gateway.batches import owned_batch as owned_batches
 from anvilwell_gateway.batches import records
 from anvilwell_gateway.batches import runner as runners
 from anvilwell_gateway.batches import scheduler as schedulers
-from anvilwell_gateway.batches import sharing as sharings
+from anvilwell_gateway.batches import slot_sharing
 from anvilwell_gateway import directory as directories
 
 ROUTE = facts.Route("r", "h", "/", (facts.Weighted("lm", 1.0),), True)
@@ -51,14 +51,14 @@
         return runners.Ended(runners.End.WHOLE)
 
 
-def _held(batch_id, revision=1):
+def _batch(batch_id, revision=1):
     items = tuple(
         facts.Item(f"{batch_id}-{n}", "/", (), b"", "g") for n in range(2)
     )
     submission = facts.Submission(batch_id, "h", "/", items)
     now = asyncio.get_running_loop().time()
-    claimed = records.Claimed(OWNER, revision)
-    return helds.Held(claimed, ROUTE, submission, now + 60)
+    claim = records.Claim(OWNER, revision)
+    return owned_batches.OwnedBatch(claim, ROUTE, submission, now + 60)
 
 
 def _run(scenario):
@@ -69,7 +69,7 @@
             current=None,
         )
         directory, runner = _Directory(), _Runner()
-        holder = holders.Holder(
+        manager = managers.BatchManager(
             None,
             directory,
             configuration,
@@ -77,14 +77,14 @@
             None,
             None,
             types.SimpleNamespace(is_empty=True),
-            sharings.Sharing(
+            slot_sharing.SlotSharing(
                 "vm", None, types.SimpleNamespace(all=lambda service: ("vm",))
             ),
         )
         try:
-            return await scenario(holder, directory, runner)
+            return await scenario(manager, directory, runner)
         finally:
-            await holder.stop()
+            await manager.stop()
 
     return asyncio.run(run())
 
@@ -96,10 +96,10 @@
 
 
 def test_a_run_that_is_cancelled_before_it_began_frees_its_slot():
-    async def scenario(holder, directory, runner):
-        holder.open(_held("b1"))
-        holder.end("b1")
-        holder.open(_held("b2"))
+    async def scenario(manager, directory, runner):
+        manager.open(_batch("b1"))
+        manager.end("b1")
+        manager.open(_batch("b2"))
         await _until(lambda: len(runner.asked) == 2)
         assert {item_id for item_id, _ in runner.asked} == {"b2-0", "b2-1"}
 
@@ -107,8 +107,8 @@
 
 
 def test_a_replica_that_goes_before_its_run_began_keeps_no_item():
-    async def scenario(holder, directory, runner):
-        holder.open(_held("b1"))
+    async def scenario(manager, directory, runner):
+        manager.open(_batch("b1"))
         directory.replicas = []
         directory.changed(CAME_OR_WENT)
         await _until(lambda: len(runner.asked) == 2)
@@ -123,12 +123,12 @@
     batches that it had not: four fifths of the entries' processor time.
     """
 
-    async def scenario(holder, directory, runner):
+    async def scenario(manager, directory, runner):
         for changed in [CAME_OR_WENT, NOTICED] * 5:
             directory.changed(changed)
         assert directory.looked_at == []
-        holder.open(_held("b1"))
-        tasks = holder.held_by_id["b1"].tasks_by_item
+        manager.open(_batch("b1"))
+        tasks = manager.batches_by_id["b1"].tasks_by_item
         await _until(lambda: len(runner.asked) == 2 and not tasks)
         looked = len(directory.looked_at)
         directory.changed(CAME_OR_WENT)
@@ -138,8 +138,8 @@
 
 
 def test_batches_look_at_the_replicas_of_their_service_alone():
-    async def scenario(holder, directory, runner):
-        holder.open(_held("b1"))
+    async def scenario(manager, directory, runner):
+        manager.open(_batch("b1"))
         directory.changed(CAME_OR_WENT)
         await _until(lambda: len(runner.asked) == 2)
         assert set(directory.looked_at) == {"lm"}
@@ -148,9 +148,9 @@
 
 
 def test_notices_share_a_look_at_the_replicas():
-    async def scenario(holder, directory, runner):
+    async def scenario(manager, directory, runner):
         runner.may_end.clear()
-        holder.open(_held("b1"))
+        manager.open(_batch("b1"))
         assert len(directory.looked_at) == 1
         for _ in range(9):
             directory.changed(NOTICED)
@@ -169,13 +169,13 @@
     items, was refused for 1.2 s.
     """
 
-    async def scenario(holder, directory, runner):
+    async def scenario(manager, directory, runner):
         earlier = OWNER._replace(submitted_at=OWNER.submitted_at - 4.0)
-        later, first = _held("b2"), _held("b1")
-        first.claimed = records.Claimed(earlier, 1)
+        later, first = _batch("b2"), _batch("b1")
+        first.claim = records.Claim(earlier, 1)
         directory.replicas = []
-        holder.open(later)
-        holder.open(first)
+        manager.open(later)
+        manager.open(first)
         directory.replicas = [REPLICA]
         directory.changed(CAME_OR_WENT)
         await _until(lambda: len(runner.asked) == 2)
@@ -187,13 +187,13 @@
 def test_only_the_newest_claim_of_a_batch_runs_and_is_answered_for():
     """The loss of an older one had this entry forget the newer one."""
 
-    async def scenario(holder, directory, runner):
-        older, newer = _held("b1"), _held("b1", 2)
-        holder.open(older)
-        holder.open(newer)
-        holder.open(_held("b1"))
-        await holder.drop(older, "another process owns it")
-        assert holder.held_by_id == {"b1": newer}
+    async def scenario(manager, directory, runner):
+        older, newer = _batch("b1"), _batch("b1", 2)
+        manager.open(older)
+        manager.open(newer)
+        manager.open(_batch("b1"))
+        await manager.drop(older, "another process owns it")
+        assert manager.batches_by_id == {"b1": newer}
         await _until(older.committer.cancelled)
         assert not newer.committer.done()
 
@@ -203,12 +203,12 @@
 def test_a_read_that_waits_ends_with_the_batch():
     """It waited for its whole time for a batch that another process had."""
 
-    async def scenario(holder, directory, runner):
-        held = _held("b1")
-        holder.open(held)
-        waiting = asyncio.create_task(held.wait_listed(0, 3600.0))
+    async def scenario(manager, directory, runner):
+        batch = _batch("b1")
+        manager.open(batch)
+        waiting = asyncio.create_task(batch.wait_listed(0, 3600.0))
         await asyncio.sleep(0)
-        await holder.drop(held, "another process owns it")
+        await manager.drop(batch, "another process owns it")
         async with asyncio.timeout(10.0):
             await waiting
 
--- a/packages/gateway/tests/batches/test_saving.py
+++ b/packages/gateway/tests/batches/test_saving.py
@@ -4,7 +4,7 @@
 import types
 
 from anvilwell_decisions.batches import progress
-from anvilwell_gateway.batches import holder as holders
+from anvilwell_gateway.batches import manager as managers
 from anvilwell_gateway.batches import saving
 from anvilwell_kernel import exceptions
 
@@ -20,9 +20,9 @@
         self.saved_at.append(asyncio.get_running_loop().time())
 
 
-def _held():
+def _batch():
     text = progress.Progress("i1")
-    text.events = ["a"] * saving.LEAST_EVENTS
+    text.events = ["a"] * saving.MIN_SAVED_EVENTS
     return types.SimpleNamespace(
         batch_id="b1",
         book=types.SimpleNamespace(needs_no_runs=False),
@@ -36,26 +36,30 @@
     store = _Store()
 
     async def scenario():
-        held = _held()
-        saver = asyncio.create_task(saving.Saver(store, held).run())
+        batch = _batch()
+        saver = asyncio.create_task(saving.Saver(store, batch).run())
         # The first try fails, and the next is due at twice the interval.
-        await asyncio.sleep(saving.SAVE_S + 0.1)
+        await asyncio.sleep(saving.SAVE_INTERVAL_S + 0.1)
         store.is_away = False
-        held_by_id = {"b1": held}
-        holders.Holder.save_soon(types.SimpleNamespace(held_by_id=held_by_id))
+        batches_by_id = {"b1": batch}
+        managers.BatchManager.save_soon(
+            types.SimpleNamespace(batches_by_id=batches_by_id)
+        )
         await asyncio.sleep(0.01)
         saver.cancel()
-        return held.is_unsaved
+        return batch.is_unsaved
 
     assert run_virtual(scenario()) is False
-    assert store.saved_at == [saving.SAVE_S + 0.1]
+    assert store.saved_at == [saving.SAVE_INTERVAL_S + 0.1]
 
 
 def test_what_was_saved_is_not_saved_again_for_that(run_virtual):
     async def scenario():
-        held = _held()
-        held_by_id = {"b1": held}
-        holders.Holder.save_soon(types.SimpleNamespace(held_by_id=held_by_id))
-        return held.to_save.is_set()
+        batch = _batch()
+        batches_by_id = {"b1": batch}
+        managers.BatchManager.save_soon(
+            types.SimpleNamespace(batches_by_id=batches_by_id)
+        )
+        return batch.to_save.is_set()
 
     assert run_virtual(scenario()) is False
--- a/packages/gateway/tests/batches/test_sharing.py
+++ b/packages/gateway/tests/batches/test_slot_sharing.py
@@ -5,7 +5,7 @@
 
 from anvilwell_decisions.batches import dispatch as dispatches
 from anvilwell_decisions.traffic import facts
-from anvilwell_gateway.batches import sharing as sharings
+from anvilwell_gateway.batches import slot_sharing
 from anvilwell_gateway.http import messages
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
@@ -37,7 +37,7 @@
                 verdict=verdict.Verdict.NOT_RUN,
             )
         responder = _Responder()
-        await self._peers_by_vm[key].sharing.answer(question, responder)
+        await self._peers_by_vm[key].slot_sharing.answer(question, responder)
         return messages.Reply(responder.status, ()), responder.body
 
     def close(self):
@@ -51,21 +51,21 @@
         news = types.SimpleNamespace(
             addresses_by_vm=dict.fromkeys(homes, "10.0.0.1:1")
         )
-        self.sharing = sharings.Sharing(
+        self.slot_sharing = slot_sharing.SlotSharing(
             vm_id, news, types.SimpleNamespace(all=lambda service: homes)
         )
-        self.pool = self.sharing._pool = _Pool(peers_by_vm)
+        self.pool = self.slot_sharing._pool = _Pool(peers_by_vm)
         self.dispatch = dispatches.Dispatch()
         self.dispatch.set_replicas(REPLICAS)
         self.waiting = 0
-        self.sharing.use_of = lambda service: sharings.Use(
+        self.slot_sharing.use_of = lambda service: slot_sharing.SlotUsage(
             self.waiting, self.dispatch.workers(service)
         )
-        self.sharing.on_change = lambda: self.dispatch.set_limits(
-            self.sharing.limit
+        self.slot_sharing.on_change = lambda: self.dispatch.set_limits(
+            self.slot_sharing.limit
         )
-        self.sharing.look(["lm"])
-        self.sharing.on_change()
+        self.slot_sharing.look(["lm"])
+        self.slot_sharing.on_change()
         peers_by_vm[vm_id] = self
 
     def fill(self):
@@ -88,8 +88,8 @@
 
 
 async def _ask(home):
-    home.sharing.ask("lm")
-    await asyncio.gather(*home.sharing._asking)
+    home.slot_sharing.ask("lm")
+    await asyncio.gather(*home.slot_sharing._asking)
 
 
 def test_a_full_home_borrows_and_no_replica_is_filled_twice():
--- a/packages/gateway/tests/test_notices.py
+++ b/packages/gateway/tests/test_notices.py
@@ -5,7 +5,7 @@
 
 from anvilwell_decisions.traffic import facts
 from anvilwell_gateway.batches import homes as all_homes
-from anvilwell_gateway.batches import needing
+from anvilwell_gateway.batches import notice_subscribers
 from anvilwell_gateway.batches import records
 from anvilwell_gateway import directory as directories
 from anvilwell_gateway import live_keys
@@ -40,9 +40,9 @@
     assert counted.p99_s >= p99_s
 
 
-def _claimed(vm_id, life, service):
+def _claim(vm_id, life, service):
     owner = records.Owner(vm_id, life, 2, "", 0.0, 1, service)
-    return records.Claimed(owner, 1)
+    return records.Claim(owner, 1)
 
 
 def test_homes_and_living_owners_of_a_service_need_its_notices(run_virtual):
@@ -58,10 +58,10 @@
         },
     )
     known = types.SimpleNamespace(
-        claimed_by_id={
-            "b1": _claimed("e2", "l2", "lm,lm-next"),
-            "b2": _claimed("e3", "before", "lm"),
-            "b3": _claimed("e3", "l3", "other"),
+        claims_by_id={
+            "b1": _claim("e2", "l2", "lm,lm-next"),
+            "b2": _claim("e3", "before", "lm"),
+            "b3": _claim("e3", "l3", "other"),
         }
     )
     configuration = types.SimpleNamespace(
@@ -71,10 +71,12 @@
     async def scenario():
         directory = types.SimpleNamespace(replicas_by_id={})
         homes = all_homes.Homes(news, directory, known)
-        found = needing.Needing(news, known, configuration, homes)
+        found = notice_subscribers.NoticeSubscribers(
+            news, known, configuration, homes
+        )
         before = [found.find(s) for s in ("lm", "lm-next", "app", None)]
-        del known.claimed_by_id["b1"]
-        await asyncio.sleep(needing.LOOK_S)
+        del known.claims_by_id["b1"]
+        await asyncio.sleep(notice_subscribers.REFRESH_INTERVAL_S)
         return before, found.find("lm")
 
     before, after = run_virtual(scenario())
