--- a/packages/bench/anvilwell_bench/slopes/acts/requests.py
+++ b/packages/bench/anvilwell_bench/slopes/acts/requests.py
@@ -144,6 +144,6 @@
             number = next(numbers)
             entry_id = f"entry-{number % size}"
             now = number / size * 2.0
-            issuer.ask(grants.Demand("t", entry_id, 5.0), now)
+            issuer.issue(grants.Demand("t", entry_id, 5.0), now)
 
         return act.cpu_us(_ask, CALLS * 5)
--- a/packages/bench/anvilwell_bench/slopes/acts/routing.py
+++ b/packages/bench/anvilwell_bench/slopes/acts/routing.py
@@ -43,7 +43,7 @@
             request = facts.RequestFacts("r", "planner-lm", prefix=prefix)
             replica_id = policy.choose(request, 0.0)
             policy.started(replica_id, 0.0)
-            policy.ended(facts.Ended(replica_id, False, 0.1), 0.1)
+            policy.ended(facts.AttemptEnd(replica_id, False, 0.1), 0.1)
 
         return act.cpu_us(decide, CALLS)
 
--- a/packages/bench/anvilwell_bench/virtual/fleet.py
+++ b/packages/bench/anvilwell_bench/virtual/fleet.py
@@ -69,7 +69,7 @@
         self._driver.send(
             "polls",
             lag,
-            self.gate.reported,
+            self.gate.record_server_load,
             self.engine.running,
             self.engine.waiting,
         )
@@ -196,13 +196,13 @@
             reasons.Refusal.CONNECT_FAILED,
             reasons.Refusal.BACKEND_FAILED,
         )
-        ended = facts.Ended(replica_id, failed, now - started)
+        ended = facts.AttemptEnd(replica_id, failed, now - started)
         self.policy.ended(ended, now)
         if answer.reason is None:
             on_answer(answer)
             return
         decision = self._deciding.decide(
-            retries.Failure(
+            retries.FailedAttempt(
                 answer.verdict,
                 answer.reason,
                 asked.facts.idempotent,
--- a/packages/daemon/anvilwell_daemon/agent/service.py
+++ b/packages/daemon/anvilwell_daemon/agent/service.py
@@ -321,7 +321,7 @@
     def _take(self, load):
         if load is not None:
             self._version = load.version
-            self._admission.reported(load.running, load.waiting)
+            self._admission.record_server_load(load.running, load.waiting)
 
     def _now(self):
         return self._clock.monotonic()
--- a/packages/daemon/anvilwell_daemon/entry/budgets.py
+++ b/packages/daemon/anvilwell_daemon/entry/budgets.py
@@ -62,7 +62,7 @@
         with self._lock:
             super().first_attempt(priority)
 
-    def decide(self, failure):
-        """Return the `retries.Decision` that follows a failure."""
+    def decide(self, failed_attempt):
+        """Return the `retries.RetryDecision` that follows a failure."""
         with self._lock:
-            return super().decide(failure)
+            return super().decide(failed_attempt)
--- a/packages/daemon/anvilwell_daemon/entry/relay.py
+++ b/packages/daemon/anvilwell_daemon/entry/relay.py
@@ -91,7 +91,7 @@
         finally:
             latency_s = self._tools.clock.monotonic() - begun
             replicas.ended(
-                service, facts.Ended(self.replica_id, failed, latency_s)
+                service, facts.AttemptEnd(self.replica_id, failed, latency_s)
             )
 
     def _stream(self, attempt):
@@ -204,14 +204,14 @@
         return decision
 
     def _failure(self, error):
-        return retries.Failure(
+        return retries.FailedAttempt(
             verdict=self._verdict,
             reason=error.reason,
             idempotent=self._call.idempotent,
             attempts=self._attempts,
             time_left_s=self._time_left(),
             # A model's text can go on elsewhere, checked by its digest.
-            answered=self._has_head and not self._call.is_model,
+            has_response_started=self._has_head and not self._call.is_model,
             retry_after_s=error.retry_after,
             priority=facts.Priority(self._call.priority),
         )
--- a/packages/daemon/anvilwell_daemon/entry/replicas.py
+++ b/packages/daemon/anvilwell_daemon/entry/replicas.py
@@ -187,7 +187,7 @@
                 policy.started(replica_id, self._now())
 
     def ended(self, service, ended):
-        """Count the end of an attempt (a `facts.Ended`)."""
+        """Count the end of an attempt (a `facts.AttemptEnd`)."""
         with self._lock:
             policy = self._policies_by_service.get(service)
             if policy:
--- a/packages/decisions/anvilwell_decisions/requests/admission.py
+++ b/packages/decisions/anvilwell_decisions/requests/admission.py
@@ -11,7 +11,7 @@
 
 _SMOOTHING = 0.1
 _BURST_DEVIATIONS = 2.0
-_LEAST_RETRY_AFTER_S = 0.1
+_MIN_RETRY_AFTER_S = 0.1
 
 
 class Ticket(typing.NamedTuple):
@@ -77,9 +77,9 @@
         }
         self._expiries = []
         self._live_running = 0
-        self._service_s = None
-        self._service_s_by_priority = {}
-        self._unit_s = None
+        self._mean_service_s = None
+        self._mean_service_s_by_priority = {}
+        self._s_per_work_unit = None
         self._is_draining = False
 
     @property
@@ -111,9 +111,11 @@
         queue = self._queued_by_priority[ticket.priority]
         if self._is_draining:
             return self._refusal(ticket, reasons.Refusal.DRAINING)
-        if not self._can_meet(ticket, now, self._wait_s(ticket.priority)):
+        if not self._can_meet_deadline(
+            ticket, now, self._wait_s(ticket.priority)
+        ):
             return self._refusal(ticket, reasons.Refusal.DEADLINE)
-        if not queue and self._has_room(ticket.priority):
+        if not queue and self._has_capacity(ticket.priority):
             return self._admit(ticket)
         if len(queue) >= self._settings.max_queue:
             return self._refusal(ticket, reasons.Refusal.QUEUE_FULL)
@@ -141,15 +143,17 @@
         ticket = self._running_by_id.get(ticket_id)
         if ticket is None:
             return []
-        done = work or ticket.work or 1.0
-        wanted = self.in_flight + self.queued
-        self._limit.observe(latency_s, done, wanted)
-        self._service_s = _smooth(self._service_s, latency_s)
-        of_class = self._service_s_by_priority
-        of_class[ticket.priority] = _smooth(
-            of_class.get(ticket.priority), latency_s
+        work_done = work or ticket.work or 1.0
+        demand = self.in_flight + self.queued
+        self._limit.observe(latency_s, work_done, demand)
+        self._mean_service_s = _smooth(self._mean_service_s, latency_s)
+        means_by_priority = self._mean_service_s_by_priority
+        means_by_priority[ticket.priority] = _smooth(
+            means_by_priority.get(ticket.priority), latency_s
+        )
+        self._s_per_work_unit = _smooth(
+            self._s_per_work_unit, latency_s / work_done
         )
-        self._unit_s = _smooth(self._unit_s, latency_s / done)
         return self._release(ticket, now)
 
     def failed(self, ticket_id, now):
@@ -157,16 +161,16 @@
         ticket = self._running_by_id.get(ticket_id)
         return [] if ticket is None else self._release(ticket, now)
 
-    def reported(self, running, waiting):
+    def record_server_load(self, running, waiting):
         """Take the backend server's own late report of its load."""
         if waiting:
-            self._limit.saturated(running)
+            self._limit.record_saturation(running)
 
     def cancel(self, ticket_id, now):
         """Withdraw a ticket, queued or admitted; return actions."""
         for queue in self._queued_by_priority.values():
             if queue.pop(ticket_id, None):
-                return self._fill(now)
+                return self._admit_queued(now)
         return self.failed(ticket_id, now)
 
     def expire(self, now):
@@ -177,7 +181,7 @@
             ticket = self._queued_by_priority[priority].pop(ticket_id, None)
             if ticket:
                 refused.append(self._refusal(ticket, reasons.Refusal.DEADLINE))
-        return [*refused, *self._fill(now)] if refused else []
+        return [*refused, *self._admit_queued(now)] if refused else []
 
     def drain(self):
         """Take no more; refuse all that waits, so that it goes elsewhere."""
@@ -192,24 +196,24 @@
         self._expiries.clear()
         return refused
 
-    def _has_room(self, priority):
+    def _has_capacity(self, priority):
         if self.in_flight >= self.limit:
             return False
         if priority is facts.Priority.LIVE:
             return True
         if self._queued_by_priority[facts.Priority.LIVE]:
             return False
-        return self.in_flight < max(1, self.limit - self._headroom())
+        return self.in_flight < max(1, self.limit - self._live_headroom())
 
-    def _headroom(self):
+    def _live_headroom(self):
         """Return how many places training leaves free for live.
 
         Live that arrives at random varies by the root of its mean; a
         few times that is enough, and never more than the reserve.
         """
         live = max(1, self._live_running)
-        most = self.limit * self._settings.live_reserve
-        return math.ceil(min(most, _BURST_DEVIATIONS * math.sqrt(live)))
+        reserved = self.limit * self._settings.live_reserve
+        return math.ceil(min(reserved, _BURST_DEVIATIONS * math.sqrt(live)))
 
     def _admit(self, ticket):
         self._running_by_id[ticket.ticket_id] = ticket
@@ -219,47 +223,47 @@
     def _release(self, ticket, now):
         del self._running_by_id[ticket.ticket_id]
         self._live_running -= ticket.priority is facts.Priority.LIVE
-        return self._fill(now)
+        return self._admit_queued(now)
 
-    def _fill(self, now):
+    def _admit_queued(self, now):
         """Admit what there is room for, live first."""
         actions = []
         for priority in (facts.Priority.LIVE, facts.Priority.TRAINING):
             queue = self._queued_by_priority[priority]
-            while queue and self._has_room(priority):
+            while queue and self._has_capacity(priority):
                 _, ticket = queue.popitem(last=False)
-                actions.append(self._admit_in_time(ticket, now))
+                actions.append(self._admit_or_refuse(ticket, now))
         return actions
 
-    def _admit_in_time(self, ticket, now):
-        if self._can_meet(ticket, now, 0.0):
+    def _admit_or_refuse(self, ticket, now):
+        if self._can_meet_deadline(ticket, now, 0.0):
             return self._admit(ticket)
         return self._refusal(ticket, reasons.Refusal.DEADLINE)
 
-    def _can_meet(self, ticket, now, wait_s):
+    def _can_meet_deadline(self, ticket, now, wait_s):
         return now + wait_s + self._expected_s(ticket) <= ticket.deadline
 
     def _expected_s(self, ticket):
-        if ticket.work and self._unit_s is not None:
-            return ticket.work * self._unit_s
-        return self._service_s_by_priority.get(ticket.priority, 0.0)
+        if ticket.work and self._s_per_work_unit is not None:
+            return ticket.work * self._s_per_work_unit
+        return self._mean_service_s_by_priority.get(ticket.priority, 0.0)
 
     def _wait_s(self, priority):
         """Estimate how long a new ticket of a class would wait."""
-        if self._has_room(priority) and not self._ahead(priority):
+        if self._has_capacity(priority) and not self._queued_ahead(priority):
             return 0.0
-        rounds = (self._ahead(priority) + 1) / self.limit
-        return rounds * (self._service_s or 0.0)
+        rounds = (self._queued_ahead(priority) + 1) / self.limit
+        return rounds * (self._mean_service_s or 0.0)
 
-    def _ahead(self, priority):
+    def _queued_ahead(self, priority):
         live = len(self._queued_by_priority[facts.Priority.LIVE])
         if priority is facts.Priority.LIVE:
             return live
         return live + len(self._queued_by_priority[priority])
 
     def _refusal(self, ticket, reason):
-        after_s = max(_LEAST_RETRY_AFTER_S, self._wait_s(ticket.priority))
-        return Refuse(ticket.ticket_id, reason, after_s)
+        retry_after_s = max(_MIN_RETRY_AFTER_S, self._wait_s(ticket.priority))
+        return Refuse(ticket.ticket_id, reason, retry_after_s)
 
 
 def _smooth(mean, value):
--- a/packages/decisions/anvilwell_decisions/requests/ejection.py
+++ b/packages/decisions/anvilwell_decisions/requests/ejection.py
@@ -17,8 +17,8 @@
 
     failures: int = 3
     base_s: float = 2.0
-    longest_s: float = 30.0
-    most_share: float = 0.34
+    max_s: float = 30.0
+    max_share: float = 0.34
 
 
 class OutlierEjection(routing.Policy):
@@ -33,28 +33,28 @@
         super().__init__(rng)
         self._inner = inner
         self._settings = settings or EjectionSettings()
-        self._out = pool.Pool()
-        self._returns = []
+        self._ejected_pool = pool.Pool()
+        self._readmissions = []
         self._failures_by_id = {}
         self._ejections_by_id = {}
 
     @property
     def ejected(self):
         """Ids of the replicas that are out now."""
-        return sorted(self._out.facts_by_id)
+        return sorted(self._ejected_pool.facts_by_id)
 
     def replica_up(self, facts, now):
         """Take in a replica; one that is out stays out."""
         super().replica_up(facts, now)
-        if facts.replica_id in self._out.facts_by_id:
-            self._out.up(facts)
+        if facts.replica_id in self._ejected_pool.facts_by_id:
+            self._ejected_pool.add_replica(facts)
         else:
             self._inner.replica_up(facts, now)
 
     def replica_down(self, replica_id, now):
         """Forget a replica and its failures."""
         super().replica_down(replica_id, now)
-        self._out.down(replica_id)
+        self._ejected_pool.remove_replica(replica_id)
         self._failures_by_id.pop(replica_id, None)
         self._ejections_by_id.pop(replica_id, None)
         self._inner.replica_down(replica_id, now)
@@ -82,38 +82,40 @@
 
     def choose(self, request, now):
         """Choose among those that are in, else among those out."""
-        self._return_due(now)
+        self._readmit_due(now)
         chosen = self._inner.choose(request, now)
         if chosen is not None:
             return chosen
         allowed = (
             replica_id
-            for replica_id in self._out.eligible(request)
+            for replica_id in self._ejected_pool.eligible(request)
             if replica_id not in request.excluded
         )
         return next(allowed, None)
 
     def _eject(self, replica_id, now):
         facts = self._pool.facts_by_id.get(replica_id)
-        is_out = replica_id in self._out.facts_by_id
-        if facts is None or is_out or not self._may_eject_more():
+        is_ejected = replica_id in self._ejected_pool.facts_by_id
+        if facts is None or is_ejected or not self._can_eject_more():
             return
-        times = self._ejections_by_id.get(replica_id, 0)
-        self._ejections_by_id[replica_id] = times + 1
+        previous_ejections = self._ejections_by_id.get(replica_id, 0)
+        self._ejections_by_id[replica_id] = previous_ejections + 1
         settings = self._settings
-        out_s = min(settings.longest_s, settings.base_s * 2**times)
-        self._out.up(facts)
+        ejected_s = min(
+            settings.max_s, settings.base_s * 2**previous_ejections
+        )
+        self._ejected_pool.add_replica(facts)
         self._inner.replica_down(replica_id, now)
-        heapq.heappush(self._returns, (now + out_s, replica_id))
+        heapq.heappush(self._readmissions, (now + ejected_s, replica_id))
 
-    def _may_eject_more(self):
-        most = int(len(self._pool) * self._settings.most_share)
-        return len(self._out) < most
+    def _can_eject_more(self):
+        max_ejected = int(len(self._pool) * self._settings.max_share)
+        return len(self._ejected_pool) < max_ejected
 
-    def _return_due(self, now):
-        while self._returns and self._returns[0][0] <= now:
-            _, replica_id = heapq.heappop(self._returns)
-            facts = self._out.down(replica_id)
+    def _readmit_due(self, now):
+        while self._readmissions and self._readmissions[0][0] <= now:
+            _, replica_id = heapq.heappop(self._readmissions)
+            facts = self._ejected_pool.remove_replica(replica_id)
             if facts is not None:
                 # One more failure is enough to eject it again.
                 self._failures_by_id[replica_id] = self._settings.failures - 1
--- a/packages/decisions/anvilwell_decisions/requests/facts.py
+++ b/packages/decisions/anvilwell_decisions/requests/facts.py
@@ -54,7 +54,7 @@
     contention: float | None = None
 
 
-class Ended(typing.NamedTuple):
+class AttemptEnd(typing.NamedTuple):
     """How one attempt ended; ``latency_s`` from its start.
 
     ``is_answer`` tells that it is the time of a whole short answer.
--- a/packages/decisions/anvilwell_decisions/requests/grants.py
+++ b/packages/decisions/anvilwell_decisions/requests/grants.py
@@ -10,7 +10,7 @@
 
 BURST_S = 1.0
 NO_GRANT_WAIT_S = 1.0
-_LEAST_SHARE = 0.02
+_MIN_SHARE = 0.02
 
 
 class Grant(typing.NamedTuple):
@@ -25,7 +25,7 @@
     entry_id: str
     term: int
     number: int
-    rate_s: float
+    rate_per_s: float
     ttl_s: float
 
 
@@ -37,7 +37,7 @@
 
     team: str
     entry_id: str
-    rate_s: float
+    rate_per_s: float
     term: int = 0
     number: int = 0
 
@@ -52,9 +52,9 @@
     margin_s: float = 0.5
 
 
-class _Share(typing.NamedTuple):
+class _GrantedShare(typing.NamedTuple):
     number: int
-    rate_s: float
+    rate_per_s: float
     until: float
 
 
@@ -62,15 +62,15 @@
     """What one entry wants, and the grants that it may still use."""
 
     def __init__(self):
-        self.wanted_s = 0.0
+        self.demand_per_s = 0.0
         self.shares = []
 
     @property
-    def held_s(self):
+    def held_per_s(self):
         """The largest rate that the entry may use now."""
-        return max((share.rate_s for share in self.shares), default=0.0)
+        return max((share.rate_per_s for share in self.shares), default=0.0)
 
-    def keep(self, now, number):
+    def drop_unused(self, now, number):
         """Drop grants that have lapsed or that the entry has replaced."""
         self.shares = [
             share
@@ -97,76 +97,82 @@
         When it became the issuer; monotonic seconds.
     """
 
-    def __init__(self, team, limit_s, term, now, settings=None):
+    def __init__(self, team, limit_per_s, term, now, settings=None):
         self._team = team
         self._term = term
         self._settings = settings or GrantSettings()
-        self._limit_s = limit_s
-        self._gives_from = now + self._lapse_s
+        self._limit_per_s = limit_per_s
+        self._grants_from = now + self._share_lifetime_s
         self._number = 0
-        self._wanted_s = 0.0
-        self._held_s = 0.0
-        self._lapses = []
+        self._demand_per_s = 0.0
+        self._held_per_s = 0.0
+        self._expiries = []
         self._accounts_by_entry = {}
 
     @property
-    def _lapse_s(self):
+    def _share_lifetime_s(self):
         return self._settings.ttl_s + self._settings.margin_s
 
-    def ask(self, demand, now):
+    def issue(self, demand, now):
         """Return the `Grant` that answers a `Demand`."""
-        self._lapse(now)
+        self._expire_shares(now)
         account = self._account(demand.entry_id)
         # Another issuer's numbers say nothing of this one's grants.
         number = demand.number if demand.term == self._term else 0
-        self._update(account, now, number)
-        least_s = self._limit_s * _LEAST_SHARE
-        wanted_s = max(demand.rate_s, least_s)
-        self._wanted_s += wanted_s - account.wanted_s
-        account.wanted_s = wanted_s
-        rate_s = self._rate_s(account) if now >= self._gives_from else 0.0
+        self._drop_unused_shares(account, now, number)
+        min_per_s = self._limit_per_s * _MIN_SHARE
+        demand_per_s = max(demand.rate_per_s, min_per_s)
+        self._demand_per_s += demand_per_s - account.demand_per_s
+        account.demand_per_s = demand_per_s
+        rate_per_s = (
+            self._fair_rate_per_s(account) if now >= self._grants_from else 0.0
+        )
         self._number += 1
-        self._give(demand.entry_id, account, rate_s, now)
+        self._add_share(demand.entry_id, account, rate_per_s, now)
         return Grant(
             self._team,
             demand.entry_id,
             self._term,
             self._number,
-            rate_s,
+            rate_per_s,
             self._settings.ttl_s,
         )
 
-    def _rate_s(self, account):
+    def _fair_rate_per_s(self, account):
         """Return the fair part, within what is surely free."""
-        free_s = self._limit_s - (self._held_s - account.held_s)
-        fair_s = self._limit_s * account.wanted_s / self._wanted_s
-        return max(0.0, min(free_s, fair_s))
+        free_per_s = self._limit_per_s - (
+            self._held_per_s - account.held_per_s
+        )
+        fair_per_s = (
+            self._limit_per_s * account.demand_per_s / self._demand_per_s
+        )
+        return max(0.0, min(free_per_s, fair_per_s))
 
     def _account(self, entry_id):
         return self._accounts_by_entry.setdefault(entry_id, _Account())
 
-    def _give(self, entry_id, account, rate_s, now):
-        until = now + self._lapse_s
-        before_s = account.held_s
-        account.shares.append(_Share(self._number, rate_s, until))
-        self._held_s += account.held_s - before_s
-        heapq.heappush(self._lapses, (until, entry_id))
+    def _add_share(self, entry_id, account, rate_per_s, now):
+        until = now + self._share_lifetime_s
+        before_per_s = account.held_per_s
+        account.shares.append(_GrantedShare(self._number, rate_per_s, until))
+        self._held_per_s += account.held_per_s - before_per_s
+        heapq.heappush(self._expiries, (until, entry_id))
 
-    def _update(self, account, now, number):
-        before_s = account.held_s
-        account.keep(now, number)
-        self._held_s += account.held_s - before_s
+    def _drop_unused_shares(self, account, now, number):
+        before_per_s = account.held_per_s
+        account.drop_unused(now, number)
+        self._held_per_s += account.held_per_s - before_per_s
 
-    def _lapse(self, now):
+    def _expire_shares(self, now):
         """Take back what has lapsed; forget entries that are silent."""
-        while self._lapses and self._lapses[0][0] <= now:
-            _, entry_id = heapq.heappop(self._lapses)
+        while self._expiries and self._expiries[0][0] <= now:
+            _, entry_id = heapq.heappop(self._expiries)
             account = self._accounts_by_entry.get(entry_id)
             if account is None:
                 continue
-            self._update(account, now, 0)
+            self._drop_unused_shares(account, now, 0)
             if not account.shares:
-                self._wanted_s -= account.wanted_s
+                self._demand_per_s -= account.demand_per_s
                 del self._accounts_by_entry[entry_id]
 
 
@@ -183,39 +189,43 @@
         self._until = 0.0
         self._tokens = 0.0
         self._filled_at = 0.0
-        self._asked = 0
+        self._request_count = 0
 
     def demand(self, window_s):
         """Return the `Demand` for the requests since the last one."""
-        rate_s = self._asked / window_s
-        self._asked = 0
+        rate_per_s = self._request_count / window_s
+        self._request_count = 0
         used = self._grant
         if used is None:
-            return Demand(self._team, self._entry_id, rate_s)
+            return Demand(self._team, self._entry_id, rate_per_s)
         return Demand(
-            self._team, self._entry_id, rate_s, used.term, used.number
+            self._team, self._entry_id, rate_per_s, used.term, used.number
         )
 
-    def granted(self, grant, asked_at):
+    def granted(self, grant, demanded_at):
         """Take a grant; `asked_at` is when its demand was sent."""
         old = self._grant
         if old and (grant.term, grant.number) <= (old.term, old.number):
             return
         self._grant = grant
-        self._until = asked_at + grant.ttl_s
+        self._until = demanded_at + grant.ttl_s
 
-    def rate_s(self, now):
+    def rate_per_s(self, now):
         """Return the rate that holds now, in requests a second."""
-        return self._grant.rate_s if now < self._until else 0.0
+        return self._grant.rate_per_s if now < self._until else 0.0
 
     def take(self, now):
         """Return None if a request may go on, else seconds to wait."""
-        self._asked += 1
-        rate_s = self.rate_s(now)
-        filled = self._tokens + (now - self._filled_at) * rate_s
-        self._tokens = min(filled, max(1.0, rate_s * BURST_S))
+        self._request_count += 1
+        rate_per_s = self.rate_per_s(now)
+        filled = self._tokens + (now - self._filled_at) * rate_per_s
+        self._tokens = min(filled, max(1.0, rate_per_s * BURST_S))
         self._filled_at = now
-        if rate_s > 0 and self._tokens >= 1.0:
+        if rate_per_s > 0 and self._tokens >= 1.0:
             self._tokens -= 1.0
             return None
-        return (1.0 - self._tokens) / rate_s if rate_s else NO_GRANT_WAIT_S
+        return (
+            (1.0 - self._tokens) / rate_per_s
+            if rate_per_s
+            else NO_GRANT_WAIT_S
+        )
--- a/packages/decisions/anvilwell_decisions/requests/limits.py
+++ b/packages/decisions/anvilwell_decisions/requests/limits.py
@@ -38,12 +38,12 @@
         self.best_s = None
         self._ceiling = self._bounds.highest
         self.latency_s = None
-        self._latency_s = 0.0
-        self._work = 0.0
-        self._count = 0
-        self._most = 0
+        self._window_latency_s = 0.0
+        self._window_work = 0.0
+        self._window_count = 0
+        self._window_max_demand = 0
 
-    def observe(self, latency_s, work, wanted):
+    def observe(self, latency_s, work, demand):
         """Take in one end of a request.
 
         Parameters
@@ -55,14 +55,14 @@
         wanted : int
             Requests in flight or queued just before this one ended.
         """
-        self._latency_s += latency_s
-        self._work += max(1.0, work)
-        self._count += 1
-        self._most = max(self._most, wanted)
-        if self._count >= self._bounds.window:
+        self._window_latency_s += latency_s
+        self._window_work += max(1.0, work)
+        self._window_count += 1
+        self._window_max_demand = max(self._window_max_demand, demand)
+        if self._window_count >= self._bounds.window:
             self._close_window()
 
-    def saturated(self, running):
+    def record_saturation(self, running):
         """Note that the server itself lets requests wait.
 
         Parameters
@@ -74,10 +74,10 @@
         self.limit = min(self.limit, self._ceiling)
 
     def _close_window(self):
-        latency_s = self._latency_s / self._work
-        was_used = self._most >= self.limit
-        self._latency_s = self._work = 0.0
-        self._count = self._most = 0
+        latency_s = self._window_latency_s / self._window_work
+        was_used = self._window_max_demand >= self.limit
+        self._window_latency_s = self._window_work = 0.0
+        self._window_count = self._window_max_demand = 0
         self.latency_s = latency_s
         if self.best_s is None or latency_s < self.best_s:
             self.best_s = latency_s
--- a/packages/decisions/anvilwell_decisions/requests/pool.py
+++ b/packages/decisions/anvilwell_decisions/requests/pool.py
@@ -1,7 +1,7 @@
 """Replicas that can be drawn at random under constraints in O(1)."""
 
 
-class DrawSet:
+class RandomSet:
     """A set with O(1) insertion, removal and random draw."""
 
     def __init__(self):
@@ -38,7 +38,7 @@
         """Return a random item; the set must not be empty."""
         return self._items[rng.randrange(len(self._items))]
 
-    def at(self, number):
+    def item_at(self, number):
         """Return the item at `number`, counted round."""
         return self._items[number % len(self._items)]
 
@@ -49,22 +49,22 @@
     def __init__(self):
         self.facts_by_id = {}
         self._sets_by_constraint = {}
-        self._nobody = DrawSet()
+        self._empty_set = RandomSet()
 
     def __len__(self):
         return len(self.facts_by_id)
 
-    def up(self, facts):
+    def add_replica(self, facts):
         """Add a replica, or replace what is known of it."""
-        self.down(facts.replica_id)
+        self.remove_replica(facts.replica_id)
         self.facts_by_id[facts.replica_id] = facts
         for constraint in _constraints(facts):
             members = self._sets_by_constraint.setdefault(
-                constraint, DrawSet()
+                constraint, RandomSet()
             )
             members.add(facts.replica_id)
 
-    def down(self, replica_id):
+    def remove_replica(self, replica_id):
         """Remove a replica if it is there; return what was known."""
         facts = self.facts_by_id.pop(replica_id, None)
         if facts is None:
@@ -79,7 +79,7 @@
     def eligible(self, request):
         """Return the `DrawSet` of replicas that meet the constraints."""
         constraint = (request.version, request.adapter)
-        return self._sets_by_constraint.get(constraint, self._nobody)
+        return self._sets_by_constraint.get(constraint, self._empty_set)
 
     def is_eligible(self, replica_id, request):
         """Return whether a replica may take `request`."""
--- a/packages/decisions/anvilwell_decisions/requests/retries.py
+++ b/packages/decisions/anvilwell_decisions/requests/retries.py
@@ -15,7 +15,7 @@
     GIVE_UP = "give-up"
 
 
-class Failure(typing.NamedTuple):
+class FailedAttempt(typing.NamedTuple):
     """One failed attempt.
 
     ``answered`` says whether the caller already has a part of an
@@ -27,12 +27,12 @@
     idempotent: bool
     attempts: int
     time_left_s: float
-    answered: bool = False
+    has_response_started: bool = False
     retry_after_s: float | None = None
     priority: facts.Priority = facts.Priority.LIVE
 
 
-class Decision(typing.NamedTuple):
+class RetryDecision(typing.NamedTuple):
     """What to do; ``reason`` is the counted `reasons.Retry`, if one."""
 
     action: Action
@@ -49,12 +49,12 @@
 
     share: float = 0.1
     burst: float = 10.0
-    most_attempts: int = 4
+    max_attempts: int = 4
     base_delay_s: float = 0.01
-    longest_delay_s: float = 1.0
+    max_delay_s: float = 1.0
 
 
-GIVE_UP = Decision(Action.GIVE_UP)
+GIVE_UP = RetryDecision(Action.GIVE_UP)
 
 MAY_RETRY = {
     # (verdict, idempotent): whether it may be sent again at all.
@@ -87,23 +87,23 @@
 }
 
 
-class Budget:
+class RetryBudget:
     """Retries as a share of the first attempts, with a small burst."""
 
     def __init__(self, share, burst):
         self._share = share
         self._burst = burst
-        self._saved = burst
+        self._tokens = burst
 
     def earn(self):
         """Count a first attempt."""
-        self._saved = min(self._burst, self._saved + self._share)
+        self._tokens = min(self._burst, self._tokens + self._share)
 
     def spend(self):
         """Take one retry; return False if there is none left."""
-        if self._saved < 1.0:
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
 
 
@@ -118,7 +118,7 @@
         self._rng = rng
         self._settings = settings or RetrySettings()
         self._budgets_by_priority = {
-            priority: Budget(self._settings.share, self._settings.burst)
+            priority: RetryBudget(self._settings.share, self._settings.burst)
             for priority in facts.Priority
         }
 
@@ -126,38 +126,41 @@
         """Count a first attempt; it earns its class a share of a retry."""
         self._budgets_by_priority[priority].earn()
 
-    def decide(self, failure):
+    def decide(self, failed_attempt):
         """Return the `Decision` that follows a `Failure`."""
-        if not self._is_allowed(failure):
+        if not self._is_allowed(failed_attempt):
             return GIVE_UP
-        delay_s = self._delay_s(failure)
-        budget = self._budgets_by_priority[failure.priority]
-        if delay_s >= failure.time_left_s or not budget.spend():
+        delay_s = self._delay_s(failed_attempt)
+        budget = self._budgets_by_priority[failed_attempt.priority]
+        if delay_s >= failed_attempt.time_left_s or not budget.spend():
             return GIVE_UP
         reason = _RETRIES_BY_REASON.get(
-            failure.reason, reasons.Retry.REFUSED_NOT_RUN
+            failed_attempt.reason, reasons.Retry.REFUSED_NOT_RUN
         )
-        return Decision(Action.RETRY, delay_s, reason)
+        return RetryDecision(Action.RETRY, delay_s, reason)
 
     def may_hedge(
-        self, idempotent, answered=False, priority=facts.Priority.LIVE
+        self,
+        idempotent,
+        has_response_started=False,
+        priority=facts.Priority.LIVE,
     ):
         """Return whether a second attempt may run beside the first."""
         budget = self._budgets_by_priority[priority]
-        return idempotent and not answered and budget.spend()
+        return idempotent and not has_response_started and budget.spend()
 
-    def _is_allowed(self, failure):
+    def _is_allowed(self, failed_attempt):
         return (
-            MAY_RETRY[failure.verdict, failure.idempotent]
-            and failure.reason not in _FINAL_REASONS
-            and not failure.answered
-            and failure.attempts < self._settings.most_attempts
+            MAY_RETRY[failed_attempt.verdict, failed_attempt.idempotent]
+            and failed_attempt.reason not in _FINAL_REASONS
+            and not failed_attempt.has_response_started
+            and failed_attempt.attempts < self._settings.max_attempts
         )
 
-    def _delay_s(self, failure):
+    def _delay_s(self, failed_attempt):
         """Return a delay drawn evenly below a growing bound."""
-        if failure.attempts <= 1:
+        if failed_attempt.attempts <= 1:
             return 0.0
         settings = self._settings
-        bound_s = settings.base_delay_s * 2 ** (failure.attempts - 1)
-        return self._rng.uniform(0, min(bound_s, settings.longest_delay_s))
+        bound_s = settings.base_delay_s * 2 ** (failed_attempt.attempts - 1)
+        return self._rng.uniform(0, min(bound_s, settings.max_delay_s))
--- a/packages/decisions/anvilwell_decisions/requests/routing.py
+++ b/packages/decisions/anvilwell_decisions/requests/routing.py
@@ -9,8 +9,8 @@
 from anvilwell_decisions.requests import loads
 from anvilwell_decisions.requests import pool
 
-_DRAWS = 8
-_LEAST_WARMTH = 0.1
+_MAX_DRAWS = 8
+_MIN_SLOW_START_SHARE = 0.1
 
 
 class Policy(abc.ABC):
@@ -34,17 +34,17 @@
         return len(self._pool)
 
     @property
-    def known_ids(self):
+    def replica_ids(self):
         """Ids of the replicas that were taken in, as a set."""
         return set(self._pool.facts_by_id)
 
     def replica_up(self, facts, now):
         """Take in a replica, or new facts of one already known."""
-        self._pool.up(facts)
+        self._pool.add_replica(facts)
 
     def replica_down(self, replica_id, now):
         """Give the replica no new work; what it has goes on."""
-        self._pool.down(replica_id)
+        self._pool.remove_replica(replica_id)
         self._loads.forget(replica_id)
 
     def report(self, report, now):
@@ -69,7 +69,7 @@
         eligible = self._pool.eligible(request)
         if not eligible:
             return None
-        for _ in range(_DRAWS):
+        for _ in range(_MAX_DRAWS):
             replica_id = eligible.draw(self._rng)
             if replica_id not in request.excluded:
                 return replica_id
@@ -82,14 +82,14 @@
 
     def __init__(self, rng):
         super().__init__(rng)
-        self._turn = rng.randrange(1 << 16)
+        self._next_index = rng.randrange(1 << 16)
 
     def choose(self, request, now):
         """Return the next replica that may take `request`."""
         eligible = self._pool.eligible(request)
         for _ in range(min(len(eligible), len(request.excluded) + 1)):
-            self._turn += 1
-            replica_id = eligible.at(self._turn)
+            self._next_index += 1
+            replica_id = eligible.item_at(self._next_index)
             if replica_id not in request.excluded:
                 return replica_id
         return None
@@ -106,18 +106,18 @@
     def replica_up(self, facts, now):
         """Take in a replica."""
         super().replica_up(facts, now)
-        self._place(facts.replica_id)
+        self._insert(facts.replica_id)
 
     def replica_down(self, replica_id, now):
         """Forget a replica."""
         super().replica_down(replica_id, now)
-        self._unplace(replica_id)
+        self._remove(replica_id)
 
     def report(self, report, now):
         """Move the replica to its new place in the order."""
         super().report(report, now)
         if report.replica_id in self._pool.facts_by_id:
-            self._place(report.replica_id)
+            self._insert(report.replica_id)
 
     def choose(self, request, now):
         """Return the least loaded replica that may take `request`."""
@@ -130,14 +130,14 @@
         )
         return next(allowed, None)
 
-    def _place(self, replica_id):
-        self._unplace(replica_id)
+    def _insert(self, replica_id):
+        self._remove(replica_id)
         load = self._loads.reported(replica_id)
         key = (load, self._rng.random(), replica_id)
         self._keys_by_id[replica_id] = key
         self._order.add(key)
 
-    def _unplace(self, replica_id):
+    def _remove(self, replica_id):
         key = self._keys_by_id.pop(replica_id, None)
         if key is not None:
             self._order.remove(key)
@@ -181,9 +181,9 @@
 
     def _cost(self, replica_id, now):
         load = self._loads.estimate(replica_id)
-        return (load + 1) / self._warmth(replica_id, now)
+        return (load + 1) / self._slow_start_share(replica_id, now)
 
-    def _warmth(self, replica_id, now):
+    def _slow_start_share(self, replica_id, now):
         """Return the part of its full load that a replica may have."""
         up_at = self._up_at_by_id.get(replica_id)
         if up_at is None:
@@ -192,7 +192,7 @@
         if age_s >= self._slow_start_s:
             del self._up_at_by_id[replica_id]
             return 1.0
-        return max(_LEAST_WARMTH, age_s / self._slow_start_s)
+        return max(_MIN_SLOW_START_SHARE, age_s / self._slow_start_s)
 
 
 class PrefixAffinity(PowerOfTwo):
@@ -235,17 +235,17 @@
     def choose(self, request, now):
         """Return a replica that likely has the prefix cached."""
         if request.prefix:
-            for replica_id in self._nearest(request):
+            for replica_id in self._ring_candidates(request):
                 if self._is_within_bound(replica_id, now):
                     return replica_id
         return super().choose(request, now)
 
     def _is_within_bound(self, replica_id, now):
         mean = (self._loads.total_own + 1) / max(1, len(self._pool))
-        allowed = self._bound * mean * self._warmth(replica_id, now)
+        allowed = self._bound * mean * self._slow_start_share(replica_id, now)
         return self._loads.own(replica_id) < allowed + 1
 
-    def _nearest(self, request):
+    def _ring_candidates(self, request):
         """Return the next distinct eligible replicas on the ring."""
         start = bisect.bisect_left(self._ring, (_point(request.prefix), ""))
         found = []
--- a/packages/decisions/anvilwell_decisions/requests/subsets.py
+++ b/packages/decisions/anvilwell_decisions/requests/subsets.py
@@ -16,7 +16,7 @@
     """
 
     size: int = 48
-    near_share: float = 0.5
+    local_share: float = 0.5
 
 
 class SubsetChange(typing.NamedTuple):
@@ -46,7 +46,7 @@
 
     def __init__(self, entry_id, failure_domain, settings=None):
         self._entry_id = entry_id
-        self._near = failure_domain
+        self._local_domain = failure_domain
         self._settings = settings or SubsetSettings()
         self._facts_by_id = {}
         self._ranked_by_domain = collections.defaultdict(
@@ -120,25 +120,27 @@
         """
         counts = {d: len(r) for d, r in self._ranked_by_domain.items()}
         quotas = dict.fromkeys(counts, 0)
-        left = min(self._settings.size, sum(counts.values()))
-        if self._near in counts:
-            share = int(self._settings.size * self._settings.near_share)
-            quotas[self._near] = min(share, counts[self._near], left)
-            left -= quotas[self._near]
-        far = sorted(set(counts) - {self._near})
-        left = _spread(quotas, counts, far, left)
-        _spread(quotas, counts, sorted(counts), left)
+        remaining = min(self._settings.size, sum(counts.values()))
+        if self._local_domain in counts:
+            share = int(self._settings.size * self._settings.local_share)
+            quotas[self._local_domain] = min(
+                share, counts[self._local_domain], remaining
+            )
+            remaining -= quotas[self._local_domain]
+        remote_domains = sorted(set(counts) - {self._local_domain})
+        remaining = _distribute(quotas, counts, remote_domains, remaining)
+        _distribute(quotas, counts, sorted(counts), remaining)
         return quotas
 
 
-def _spread(quotas, counts, domains, left):
+def _distribute(quotas, counts, domains, remaining):
     """Raise `quotas` evenly by `left`; return what could not be placed."""
-    open_domains = [d for d in domains if quotas[d] < counts[d]]
-    while left and open_domains:
-        each = max(1, left // len(open_domains))
-        for domain in open_domains:
-            more = min(each, counts[domain] - quotas[domain], left)
-            quotas[domain] += more
-            left -= more
-        open_domains = [d for d in open_domains if quotas[d] < counts[d]]
-    return left
+    unfilled = [d for d in domains if quotas[d] < counts[d]]
+    while remaining and unfilled:
+        per_domain = max(1, remaining // len(unfilled))
+        for domain in unfilled:
+            added = min(per_domain, counts[domain] - quotas[domain], remaining)
+            quotas[domain] += added
+            remaining -= added
+        unfilled = [d for d in unfilled if quotas[d] < counts[d]]
+    return remaining
--- a/packages/decisions/anvilwell_decisions/requests/trials.py
+++ b/packages/decisions/anvilwell_decisions/requests/trials.py
@@ -8,13 +8,13 @@
 import typing
 
 # A trial that nobody says is over counts as under way for so long.
-LONGEST_S = 5.0
+MAX_TRIAL_S = 5.0
 # When a request may ask again that was refused for another's trial.
-RETRY_S = 1.0
+RETRY_WAIT_S = 1.0
 
 
 class _Trial(typing.NamedTuple):
-    trier: str
+    trial_id: str
     until: float
 
 
@@ -24,7 +24,7 @@
     def __init__(self):
         self._trials_by_fingerprint = {}
 
-    def begin(self, fingerprint, trier, now):
+    def begin(self, fingerprint, trial_id, now):
         """Return 0 if `trier` may try, else when to ask again, in seconds."""
         self._trials_by_fingerprint = {
             key: trial
@@ -32,12 +32,12 @@
             if trial.until > now
         }
         trial = self._trials_by_fingerprint.setdefault(
-            fingerprint, _Trial(trier, now + LONGEST_S)
+            fingerprint, _Trial(trial_id, now + MAX_TRIAL_S)
         )
-        return 0.0 if trial.trier == trier else RETRY_S
+        return 0.0 if trial.trial_id == trial_id else RETRY_WAIT_S
 
-    def end(self, fingerprint, trier):
+    def end(self, fingerprint, trial_id):
         """Note that the trial of `trier` is over, if it was one."""
         trial = self._trials_by_fingerprint.get(fingerprint)
-        if trial and trial.trier == trier:
+        if trial and trial.trial_id == trial_id:
             del self._trials_by_fingerprint[fingerprint]
--- a/packages/decisions/anvilwell_decisions/requests/verdicts.py
+++ b/packages/decisions/anvilwell_decisions/requests/verdicts.py
@@ -40,7 +40,7 @@
     WHOLE_ANSWER = "whole-answer"
 
 
-class Row(typing.NamedTuple):
+class VerdictRow(typing.NamedTuple):
     """One row: an event at a hop, its verdict and reason, and why."""
 
     hop: Hop
@@ -51,138 +51,138 @@
 
 
 _NOT_RUN = verdicts.Verdict.NOT_RUN
-_MAY = verdicts.Verdict.MAY_HAVE_RUN
+_MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 _RAN = verdicts.Verdict.RAN
 
 TABLE = (
-    Row(
+    VerdictRow(
         Hop.ENTRY,
         Event.REFUSED_BY_ENTRY,
         _NOT_RUN,
         reasons.Refusal.OVERLOADED,
         "the entry sent nothing",
     ),
-    Row(
+    VerdictRow(
         Hop.ENTRY_TO_AGENT,
         Event.CONNECT_REFUSED,
         _NOT_RUN,
         reasons.Refusal.CONNECT_FAILED,
         "no link, so no frame left the entry",
     ),
-    Row(
+    VerdictRow(
         Hop.ENTRY_TO_AGENT,
         Event.CONNECT_TIMED_OUT,
         _NOT_RUN,
         reasons.Refusal.CONNECT_FAILED,
         "the handshake did not end, so no frame left the entry",
     ),
-    Row(
+    VerdictRow(
         Hop.ENTRY_TO_AGENT,
         Event.LOST_BEFORE_SENT,
         _NOT_RUN,
         reasons.Refusal.LINK_LOST,
         "the start frame was never given to the link",
     ),
-    Row(
+    VerdictRow(
         Hop.ENTRY_TO_AGENT,
         Event.LOST_PARTLY_SENT,
-        _MAY,
+        _MAY_HAVE_RUN,
         reasons.Refusal.LINK_LOST,
         "what the kernel has taken may still arrive whole",
     ),
-    Row(
+    VerdictRow(
         Hop.ENTRY_TO_AGENT,
         Event.LOST_AFTER_SENT,
-        _MAY,
+        _MAY_HAVE_RUN,
         reasons.Refusal.LINK_LOST,
         "the agent may have forwarded it; its answer is lost",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT,
         Event.REFUSED_BY_AGENT,
         _NOT_RUN,
         reasons.Refusal.OVERLOADED,
         "the agent dropped it before it opened a connection",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT,
         Event.CANCELLED_IN_QUEUE,
         _NOT_RUN,
         reasons.Refusal.CANCELLED,
         "the agent confirms that it took it out of its queue",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT,
         Event.TIMED_OUT_IN_QUEUE,
         _NOT_RUN,
         reasons.Refusal.DEADLINE,
         "the agent took it out of its queue at the deadline",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.CONNECT_REFUSED,
         _NOT_RUN,
         reasons.Refusal.CONNECT_FAILED,
         "no connection, so no byte left the agent",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.CONNECT_TIMED_OUT,
         _NOT_RUN,
         reasons.Refusal.CONNECT_FAILED,
         "no connection, so no byte left the agent",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.IDLE_CONNECTION_CLOSED,
-        _MAY,
+        _MAY_HAVE_RUN,
         reasons.Refusal.BACKEND_FAILED,
         "a kept connection closed as it was written to: the server may"
         " have read the request before it closed",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.LOST_PARTLY_SENT,
-        _MAY,
+        _MAY_HAVE_RUN,
         reasons.Refusal.BACKEND_FAILED,
         "a server may act before it has read the whole body",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.LOST_AFTER_SENT,
-        _MAY,
+        _MAY_HAVE_RUN,
         reasons.Refusal.BACKEND_FAILED,
         "the server has the whole request",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.TIMED_OUT_AFTER_SENT,
-        _MAY,
+        _MAY_HAVE_RUN,
         reasons.Refusal.DEADLINE,
         "the server may still be at work; a late answer is dropped",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.SERVER_ERROR,
-        _MAY,
+        _MAY_HAVE_RUN,
         reasons.Refusal.BACKEND_FAILED,
         "a status of 500 or more may follow a change that was made",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.LOST_AFTER_HEADERS,
-        _MAY,
+        _MAY_HAVE_RUN,
         reasons.Refusal.ANSWER_CUT,
         "the server began to answer and did not end",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.LOST_IN_STREAM,
-        _MAY,
+        _MAY_HAVE_RUN,
         reasons.Refusal.ANSWER_CUT,
         "the caller has a part; the stream ends by an error event",
     ),
-    Row(
+    VerdictRow(
         Hop.AGENT_TO_BACKEND,
         Event.WHOLE_ANSWER,
         _RAN,
@@ -200,7 +200,7 @@
     An event that the table does not hold may have run: a verdict is
     never better than what is known.
     """
-    unknown = Row(
-        hop, event, _MAY, reasons.Refusal.INTERNAL, "not in the table"
+    unlisted = VerdictRow(
+        hop, event, _MAY_HAVE_RUN, reasons.Refusal.INTERNAL, "not in the table"
     )
-    return _ROWS_BY_CAUSE.get((hop, event), unknown)
+    return _ROWS_BY_CAUSE.get((hop, event), unlisted)
--- a/packages/decisions/tests/requests/overload_world.py
+++ b/packages/decisions/tests/requests/overload_world.py
@@ -205,7 +205,7 @@
         elif len(self._waiting[replica]) < self._load.queue:
             self._waiting[replica].append(call)
         else:
-            policy.ended(facts.Ended(chosen, True, HOP_S), self.now)
+            policy.ended(facts.AttemptEnd(chosen, True, HOP_S), self.now)
             self.shares[call.entry].refused(
                 chosen, self._load.replicas, self.now
             )
@@ -237,7 +237,9 @@
             self.now,
         )
         policy.ended(
-            facts.Ended(str(replica), False, self.now - call.sent_at, True),
+            facts.AttemptEnd(
+                str(replica), False, self.now - call.sent_at, True
+            ),
             self.now,
         )
         self.times_s.append(took_s)
--- a/packages/decisions/tests/requests/test_admission.py
+++ b/packages/decisions/tests/requests/test_admission.py
@@ -210,15 +210,15 @@
 
 def test_a_server_that_lets_requests_wait_caps_the_limit():
     gate = admission.Admission(SETTINGS)
-    gate.reported(running=3, waiting=0)
+    gate.record_server_load(running=3, waiting=0)
     assert gate.limit == 4
-    gate.reported(running=3, waiting=1)
+    gate.record_server_load(running=3, waiting=1)
     assert gate.limit == 3
 
 
 def test_a_cap_is_tried_again_after_some_windows():
     limit = limits.AdaptiveLimit(limits.LimitBounds(initial=10, window=1))
-    limit.saturated(6)
+    limit.record_saturation(6)
     grown = [limit.observe(1.0, 1.0, 20) or limit.limit for _ in range(9)]
     assert grown[0] == 6
     assert 6 < grown[-1] <= 9
--- a/packages/decisions/tests/requests/test_ejection.py
+++ b/packages/decisions/tests/requests/test_ejection.py
@@ -24,7 +24,7 @@
 def _fail(policy, replica_id, now=0.0, times=FAILED):
     for _ in range(times):
         policy.started(replica_id, now)
-        policy.ended(facts.Ended(replica_id, True, 0.1), now)
+        policy.ended(facts.AttemptEnd(replica_id, True, 0.1), now)
 
 
 def _chosen(policy, now):
@@ -43,7 +43,7 @@
 def test_one_success_starts_the_count_again():
     policy = _policy()
     _fail(policy, "r0", times=FAILED - 1)
-    policy.ended(facts.Ended("r0", False, 0.1), 0.0)
+    policy.ended(facts.AttemptEnd("r0", False, 0.1), 0.0)
     _fail(policy, "r0", times=FAILED - 1)
     assert policy.ejected == []
 
--- a/packages/decisions/tests/requests/test_expected_latency.py
+++ b/packages/decisions/tests/requests/test_expected_latency.py
@@ -68,7 +68,9 @@
         self.policy.report(
             facts.LoadReport(chosen, 1, 1, 6, contention), self.now
         )
-        self.policy.ended(facts.Ended(chosen, False, took_s, True), self.now)
+        self.policy.ended(
+            facts.AttemptEnd(chosen, False, took_s, True), self.now
+        )
         return chosen
 
 
@@ -122,4 +124,6 @@
         for policy in policies:
             policy.started(first, now)
             policy.report(report, now)
-            policy.ended(facts.Ended(first, False, rng.random(), True), now)
+            policy.ended(
+                facts.AttemptEnd(first, False, rng.random(), True), now
+            )
--- a/packages/decisions/tests/requests/test_grants.py
+++ b/packages/decisions/tests/requests/test_grants.py
@@ -6,7 +6,7 @@
 
 from anvilwell_decisions.requests import grants
 
-LIMIT_S = 100.0
+LIMIT_PER_S = 100.0
 ENTRIES = ("e0", "e1", "e2", "e3")
 
 
@@ -17,7 +17,7 @@
         super().__init__()
         self.now = 0.0
         self.term = 1
-        self.issuer = grants.Issuer("t", LIMIT_S, 1, -100.0)
+        self.issuer = grants.Issuer("t", LIMIT_PER_S, 1, -100.0)
         self.rates = {e: grants.TeamRate("t", e) for e in ENTRIES}
         self.demands = []
         self.answers = []
@@ -35,7 +35,7 @@
         demand, at = self.demands[number]
         if fate == "drop":
             del self.demands[number]
-        grant = self.issuer.ask(demand, self.now)
+        grant = self.issuer.issue(demand, self.now)
         self.answers.append((grant, at))
 
     @stateful.precondition(lambda self: self.answers)
@@ -57,7 +57,7 @@
     @stateful.rule()
     def new_issuer(self):
         self.term += 1
-        self.issuer = grants.Issuer("t", LIMIT_S, self.term, self.now)
+        self.issuer = grants.Issuer("t", LIMIT_PER_S, self.term, self.now)
 
     @stateful.rule(entry=st.sampled_from(ENTRIES))
     def crash(self, entry):
@@ -68,8 +68,8 @@
 
     @stateful.invariant()
     def sum_is_within_the_limit(self):
-        total = sum(rate.rate_s(self.now) for rate in self.rates.values())
-        assert total <= LIMIT_S * (1 + 1e-9)
+        total = sum(rate.rate_per_s(self.now) for rate in self.rates.values())
+        assert total <= LIMIT_PER_S * (1 + 1e-9)
 
 
 Rates.TestCase.settings = hypothesis.settings(
@@ -84,15 +84,15 @@
         for entry, asked in asked_by_entry.items():
             for _ in range(asked):
                 rates[entry].take(now)
-            grant = issuer.ask(rates[entry].demand(1.0), now)
+            grant = issuer.issue(rates[entry].demand(1.0), now)
             rates[entry].granted(grant, now)
     return {
-        entry: rate.rate_s(start + rounds) for entry, rate in rates.items()
+        entry: rate.rate_per_s(start + rounds) for entry, rate in rates.items()
     }
 
 
 def test_shares_follow_demand():
-    issuer = grants.Issuer("t", LIMIT_S, 1, -100.0)
+    issuer = grants.Issuer("t", LIMIT_PER_S, 1, -100.0)
     rates = {e: grants.TeamRate("t", e) for e in ("a", "b")}
     shares = _rounds(issuer, rates, {"a": 50, "b": 50}, 0.0, 10)
     assert abs(shares["a"] - 50) < 1
@@ -102,46 +102,46 @@
 
 
 def test_a_silent_entrys_share_goes_to_the_others():
-    issuer = grants.Issuer("t", LIMIT_S, 1, -100.0)
+    issuer = grants.Issuer("t", LIMIT_PER_S, 1, -100.0)
     rates = {e: grants.TeamRate("t", e) for e in ("a", "b")}
     _rounds(issuer, rates, {"a": 50, "b": 50}, 0.0, 5)
     shares = _rounds(issuer, {"a": rates["a"]}, {"a": 50}, 5.0, 10)
-    assert shares["a"] == LIMIT_S
+    assert shares["a"] == LIMIT_PER_S
 
 
 def test_a_new_issuer_waits_for_the_old_grants_to_lapse():
-    issuer = grants.Issuer("t", LIMIT_S, 2, 0.0)
-    assert issuer.ask(grants.Demand("t", "a", 10.0), 6.0).rate_s == 0.0
-    assert issuer.ask(grants.Demand("t", "a", 10.0), 6.5).rate_s > 0.0
+    issuer = grants.Issuer("t", LIMIT_PER_S, 2, 0.0)
+    assert issuer.issue(grants.Demand("t", "a", 10.0), 6.0).rate_per_s == 0.0
+    assert issuer.issue(grants.Demand("t", "a", 10.0), 6.5).rate_per_s > 0.0
 
 
 def test_numbers_of_an_older_issuer_do_not_count():
-    issuer = grants.Issuer("t", LIMIT_S, 2, -100.0)
+    issuer = grants.Issuer("t", LIMIT_PER_S, 2, -100.0)
     rate = grants.TeamRate("t", "a")
-    rate.granted(grants.Grant("t", "a", 1, 50, LIMIT_S, 6.0), -7.0)
-    given = issuer.ask(rate.demand(1.0), 0.0)
+    rate.granted(grants.Grant("t", "a", 1, 50, LIMIT_PER_S, 6.0), -7.0)
+    given = issuer.issue(rate.demand(1.0), 0.0)
     busy = grants.Demand("t", "b", 1000.0)
-    issuer.ask(busy, 0.0)
-    issuer.ask(rate.demand(1.0), 0.0)
-    other = issuer.ask(busy, 0.0)
+    issuer.issue(busy, 0.0)
+    issuer.issue(rate.demand(1.0), 0.0)
+    other = issuer.issue(busy, 0.0)
     rate.granted(given, 0.0)
-    assert rate.rate_s(1.0) + other.rate_s <= LIMIT_S
+    assert rate.rate_per_s(1.0) + other.rate_per_s <= LIMIT_PER_S
 
 
 def test_a_late_older_grant_is_ignored():
     rate = grants.TeamRate("t", "a")
     rate.granted(grants.Grant("t", "a", 1, 2, 10.0, 6.0), 0.0)
     rate.granted(grants.Grant("t", "a", 1, 1, 90.0, 6.0), 0.0)
-    assert rate.rate_s(1.0) == 10.0
+    assert rate.rate_per_s(1.0) == 10.0
     rate.granted(grants.Grant("t", "a", 2, 1, 20.0, 6.0), 0.0)
-    assert rate.rate_s(1.0) == 20.0
+    assert rate.rate_per_s(1.0) == 20.0
 
 
 def test_a_grant_lapses_counted_from_its_demand():
     rate = grants.TeamRate("t", "a")
     rate.granted(grants.Grant("t", "a", 1, 1, 10.0, 6.0), 3.0)
-    assert rate.rate_s(8.9) == 10.0
-    assert rate.rate_s(9.0) == 0.0
+    assert rate.rate_per_s(8.9) == 10.0
+    assert rate.rate_per_s(9.0) == 0.0
 
 
 def test_the_bucket_lets_its_rate_through():
--- a/packages/decisions/tests/requests/test_retries.py
+++ b/packages/decisions/tests/requests/test_retries.py
@@ -28,7 +28,9 @@
         "time_left_s": 10.0,
         **fields,
     }
-    return retries.Failure(verdict=verdict, idempotent=idempotent, **fields)
+    return retries.FailedAttempt(
+        verdict=verdict, idempotent=idempotent, **fields
+    )
 
 
 @pytest.mark.parametrize(
@@ -84,29 +86,31 @@
 
 
 def test_retries_stay_a_share_of_the_traffic():
-    deciding = _retries(share=0.1, burst=5)
+    service_retries = _retries(share=0.1, burst=5)
     made = 0
     for _ in range(1000):
-        deciding.first_attempt()
-        decision = deciding.decide(_failure())
+        service_retries.first_attempt()
+        decision = service_retries.decide(_failure())
         made += decision.action is retries.Action.RETRY
     assert 100 <= made <= 105
 
 
 def test_hedges_come_out_of_the_same_budget():
-    deciding = _retries(share=0.0, burst=1)
-    assert deciding.may_hedge(True)
-    assert not deciding.may_hedge(True)
-    assert deciding.decide(_failure()) is retries.GIVE_UP
+    service_retries = _retries(share=0.0, burst=1)
+    assert service_retries.may_hedge(True)
+    assert not service_retries.may_hedge(True)
+    assert service_retries.decide(_failure()) is retries.GIVE_UP
 
 
 def test_training_does_not_use_up_the_retries_of_live():
-    deciding = _retries(share=0.0, burst=1)
+    service_retries = _retries(share=0.0, burst=1)
     training = facts.Priority.TRAINING
     retry = retries.Action.RETRY
-    assert deciding.decide(_failure(priority=training)).action is retry
-    assert deciding.decide(_failure(priority=training)) is retries.GIVE_UP
-    assert deciding.decide(_failure()).action is retry
+    assert service_retries.decide(_failure(priority=training)).action is retry
+    assert (
+        service_retries.decide(_failure(priority=training)) is retries.GIVE_UP
+    )
+    assert service_retries.decide(_failure()).action is retry
 
 
 def test_non_idempotent_requests_are_never_hedged():
@@ -116,7 +120,7 @@
 @pytest.mark.parametrize(
     "fields",
     [
-        {"answered": True},
+        {"has_response_started": True},
         {"attempts": 4},
         {"time_left_s": 0.0},
         {"reason": reasons.Refusal.BAD_REQUEST},
@@ -124,15 +128,15 @@
     ],
 )
 def test_what_cannot_help_is_given_up_and_costs_no_budget(fields):
-    deciding = _retries(share=0.0, burst=1)
-    assert deciding.decide(_failure(**fields)) is retries.GIVE_UP
-    assert deciding.decide(_failure()).action is retries.Action.RETRY
+    service_retries = _retries(share=0.0, burst=1)
+    assert service_retries.decide(_failure(**fields)) is retries.GIVE_UP
+    assert service_retries.decide(_failure()).action is retries.Action.RETRY
 
 
 def test_backoff_is_jittered_and_bounded():
-    deciding = _retries(share=1, burst=1000, most_attempts=20)
+    service_retries = _retries(share=1, burst=1000, max_attempts=20)
     delays = [
-        deciding.decide(_failure(attempts=a, time_left_s=100)).delay_s
+        service_retries.decide(_failure(attempts=a, time_left_s=100)).delay_s
         for a in range(2, 20)
         for _ in range(20)
     ]
--- a/packages/decisions/tests/requests/test_trials.py
+++ b/packages/decisions/tests/requests/test_trials.py
@@ -7,10 +7,10 @@
     known = trials.Trials()
 
     assert known.begin("f", "a", 0.0) == 0
-    assert known.begin("f", "b", 0.1) == trials.RETRY_S
+    assert known.begin("f", "b", 0.1) == trials.RETRY_WAIT_S
     assert known.begin("g", "b", 0.1) == 0
     known.end("f", "b")
-    assert known.begin("f", "b", 0.2) == trials.RETRY_S
+    assert known.begin("f", "b", 0.2) == trials.RETRY_WAIT_S
     known.end("f", "a")
     assert known.begin("f", "b", 0.3) == 0
 
@@ -29,5 +29,7 @@
     known = trials.Trials()
     known.begin("f", "a", 0.0)
 
-    assert known.begin("f", "b", trials.LONGEST_S - 0.1) == trials.RETRY_S
-    assert known.begin("f", "b", trials.LONGEST_S) == 0
+    assert (
+        known.begin("f", "b", trials.MAX_TRIAL_S - 0.1) == trials.RETRY_WAIT_S
+    )
+    assert known.begin("f", "b", trials.MAX_TRIAL_S) == 0
--- a/packages/gateway/anvilwell_gateway/attempts.py
+++ b/packages/gateway/anvilwell_gateway/attempts.py
@@ -311,7 +311,9 @@
         policy = self._forwarder.policy(self._service)
         took_s = now - started_at
         policy.ended(
-            request_facts.Ended(replica.replica_id, failed, took_s, is_answer),
+            request_facts.AttemptEnd(
+                replica.replica_id, failed, took_s, is_answer
+            ),
             now,
         )
 
--- a/packages/gateway/anvilwell_gateway/batches/request_handler.py
+++ b/packages/gateway/anvilwell_gateway/batches/request_handler.py
@@ -47,7 +47,7 @@
         Who owns which batch.
     passer : passing.Passer
         Asks the owners of others' batches.
-    budget : buffers.Budget
+    budget : byte_budget.ByteBudget
         What may be held for callers that read slowly.
     may_vouch : callable
         Return whether the store answered so lately that no other process
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -34,7 +34,7 @@
         The way of scoring calls, and which items end replicas.
     pool : client.Pool
         Connections to replicas.
-    budget : buffers.Budget
+    budget : byte_budget.ByteBudget
         What may be held for callers.
     """
 
--- a/packages/gateway/anvilwell_gateway/forwarding.py
+++ b/packages/gateway/anvilwell_gateway/forwarding.py
@@ -187,7 +187,7 @@
             return
         now = asyncio.get_running_loop().time()
         for service, policy in self._policies_by_service.items():
-            known = policy.known_ids.intersection(changed.replica_ids)
+            known = policy.replica_ids.intersection(changed.replica_ids)
             for replica_id in changed.replica_ids:
                 usable = self._directory.find_usable(replica_id)
                 is_up = usable is not None and usable.service == service
--- a/packages/gateway/anvilwell_gateway/front.py
+++ b/packages/gateway/anvilwell_gateway/front.py
@@ -40,7 +40,7 @@
         Answers what concerns batches.
     early : listening.Early
         What listens already.
-    budget : buffers.Budget
+    budget : byte_budget.ByteBudget
         What may be held for callers.
     """
 
--- a/packages/gateway/anvilwell_gateway/peering.py
+++ b/packages/gateway/anvilwell_gateway/peering.py
@@ -17,7 +17,7 @@
     ----------
     listen : options.Address
         Where peers connect.
-    budget : buffers.Budget
+    budget : byte_budget.ByteBudget
         What may be held for peers.
     """
 
--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -127,7 +127,7 @@
             return self.decide(question)
         address = self._news.addresses_by_vm.get(decider)
         if address is None:
-            return trials.RETRY_S
+            return trials.RETRY_WAIT_S
         try:
             body = await bodies.ask(
                 self._pool, decider, address, TARGET, question, LIMITS
@@ -140,7 +140,7 @@
                 fingerprint=fingerprint,
                 cause=error.message,
             )
-            return trials.RETRY_S
+            return trials.RETRY_WAIT_S
 
     def decide(self, question):
         """Return how long the `Question`'s request must wait, in seconds."""
--- a/packages/gateway/tests/test_forwarding.py
+++ b/packages/gateway/tests/test_forwarding.py
@@ -58,11 +58,11 @@
         directory.take("r2", "lm")
         directory.take("r3", "plain")
         directory.tell("r1", is_membership=False)
-        assert policy.known_ids == {"r1", "r2"}
+        assert policy.replica_ids == {"r1", "r2"}
         directory.lose("r1")
         directory.lose("r3")
         directory.take("r2", "plain")
-        assert policy.known_ids == set()
+        assert policy.replica_ids == set()
         assert pool.forgotten == ["r1", "r2"]
         assert directory.looks == 1
 
--- a/packages/gateway/tests/test_trials.py
+++ b/packages/gateway/tests/test_trials.py
@@ -76,7 +76,7 @@
             assert wait_s == 0
             for vm_id in ADDRESSES_BY_VM:
                 async with trials_by_vm[vm_id].trial("f") as wait_s:
-                    assert wait_s == decisions.RETRY_S
+                    assert wait_s == decisions.RETRY_WAIT_S
         await asyncio.sleep(0.01)
         async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s == 0
@@ -94,7 +94,7 @@
                 del news.addresses_by_vm[DECIDER]
             for vm_id in OTHERS[1:]:
                 async with trials_by_vm[vm_id].trial("f") as wait_s:
-                    assert wait_s == decisions.RETRY_S
+                    assert wait_s == decisions.RETRY_WAIT_S
         await asyncio.sleep(0.01)
         async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s == 0
@@ -142,7 +142,7 @@
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
         pool.is_cut = True
         async with trials_by_vm[OTHERS[0]].trial("f") as wait_s:
-            assert wait_s == decisions.RETRY_S
+            assert wait_s == decisions.RETRY_WAIT_S
         pool.is_cut = False
         async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s == 0
