--- a/packages/gateway/anvilwell_gateway/cutting.py
+++ b/packages/gateway/anvilwell_gateway/aborting.py
@@ -8,12 +8,12 @@
 from anvilwell_kernel.telemetry import logs
 
 # How long the answers to requests that were cut may take, in seconds.
-ANSWER_S = 0.3
+RESPONSE_GRACE_S = 0.3
 
 _LOG = logs.get_logger(__name__)
 
 
-class Cutter:
+class RequestAborter:
     """Ends the requests of one server by an error that its handler answers.
 
     Parameters
@@ -24,8 +24,8 @@
 
     def __init__(self, server):
         self._server = server
-        self._limits = set()
-        self._is_cut = False
+        self._timeouts = set()
+        self._is_aborted = False
 
     @contextlib.asynccontextmanager
     async def guard(self):
@@ -38,32 +38,32 @@
         exceptions.Timeout
             At the cut; the request may have run.
         """
-        if self._is_cut:
+        if self._is_aborted:
             raise exceptions.Refused(
                 "this VM is stopping", reason=reasons.Refusal.DRAINING
             )
-        limit = asyncio.timeout(None)
-        self._limits.add(limit)
+        timeout = asyncio.timeout(None)
+        self._timeouts.add(timeout)
         try:
-            async with limit:
+            async with timeout:
                 yield
         except TimeoutError:
-            if not limit.expired():
+            if not timeout.expired():
                 raise
             raise exceptions.Timeout(
                 "this VM stopped meanwhile", reason=reasons.Refusal.DRAINING
             ) from None
         finally:
-            self._limits.discard(limit)
+            self._timeouts.discard(timeout)
 
-    async def cut(self):
+    async def abort(self):
         """End all requests now, and wait a moment for their answers."""
-        self._is_cut = True
+        self._is_aborted = True
         now = asyncio.get_running_loop().time()
-        for limit in self._limits:
-            limit.reschedule(now)
+        for timeout in self._timeouts:
+            timeout.reschedule(now)
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(RESPONSE_GRACE_S):
                 await self._server.finish()
         except TimeoutError:
             _LOG.log("answers-not-sent", requests=self._server.in_flight)
--- a/packages/gateway/anvilwell_gateway/callers.py
+++ b/packages/gateway/anvilwell_gateway/admission.py
@@ -7,10 +7,10 @@
 # A change of the configuration is in force within so long at an entry that
 # the store answers, in seconds; see `presence.VOUCH_S`. A key that was
 # taken away may be in use for this much longer than the last answer.
-IN_FORCE_S = 2.0
+MAX_CONFIGURATION_DELAY_S = 2.0
 
 
-class Callers:
+class CallerAdmission:
     """Checks the keys of requests against the configuration in force.
 
     Parameters
@@ -85,7 +85,7 @@
 
     def _check_confirmed(self):
         """Refuse while a key may have been taken away too long ago."""
-        limit_s = self._settings.revocation_limit_s - IN_FORCE_S
+        limit_s = self._settings.revocation_limit_s - MAX_CONFIGURATION_DELAY_S
         is_late = self._presence.answer_age_s() > limit_s
         if self._settings.strict_revocation and is_late:
             raise _uncertain("keys can't be confirmed: the store is silent")
--- a/packages/gateway/anvilwell_gateway/batches/runner.py
+++ b/packages/gateway/anvilwell_gateway/batches/runner.py
@@ -115,7 +115,7 @@
             order.organisation,
         )
         connection.send("POST", order.item.target, headers, order.item.body)
-        async with asyncio.timeout(events.STALL_S):
+        async with asyncio.timeout(events.STALL_TIMEOUT_S):
             reply = await connection.read_head()
         outcome = self._dialect.read_outcome(reply)
         if outcome.load:
@@ -126,7 +126,7 @@
                 connection, order, reply, outcome.version, pace
             )
         if ended.end is End.REFUSED:
-            async with asyncio.timeout(events.STALL_S):
+            async with asyncio.timeout(events.STALL_TIMEOUT_S):
                 await connection.read_body(events.MAX_BLOCK_BYTES)
         return reply, ended
 
@@ -136,7 +136,7 @@
         buffered = b""
         last_at = None
         while True:
-            async with asyncio.timeout(events.STALL_S):
+            async with asyncio.timeout(events.STALL_TIMEOUT_S):
                 part = await connection.read_part()
             if not part:
                 break
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -10,10 +10,10 @@
 from anvilwell_decisions.batches import order as orders
 from anvilwell_decisions.traffic import facts
 from anvilwell_decisions.traffic import table
-from anvilwell_gateway import alarms
 from anvilwell_gateway.batches import runner as runners
 from anvilwell_gateway.batches import slot_sharing as slot_sharings
 from anvilwell_gateway import measures
+from anvilwell_gateway import timers
 from anvilwell_kernel import reasons
 from anvilwell_kernel.telemetry import counters
 from anvilwell_kernel.telemetry import logs
@@ -94,13 +94,13 @@
         self._is_behind = True
         # When the next look for an end may be, in event-loop time.
         self._not_before = float("-inf")
-        self._alarm = alarms.Alarm(self.schedule)
+        self._timer = timers.Timer(self.schedule)
         directory.listen(self._replicas_changed)
         configuration.listen(self.schedule)
 
     def stop(self):
         """Look no more for what can start."""
-        self._alarm.stop()
+        self._timer.cancel()
 
     def _replicas_changed(self, changed):
         """Look at once for what came or went, soon for a notice."""
@@ -108,26 +108,26 @@
         if changed.is_membership:
             self.schedule()
         else:
-            self._alarm.within(GATHER_S)
+            self._timer.schedule_within(GATHER_S)
 
     def schedule(self):
         """Start whatever can start now."""
-        self._alarm.stop()
+        self._timer.cancel()
         loop = asyncio.get_running_loop()
         began_at = loop.time()
         has_work = self._look(began_at)
         took_s = loop.time() - began_at
         self._not_before = began_at + took_s / LARGEST_SHARE
         if has_work:
-            self._alarm.later(RETRY_S)
+            self._timer.schedule_in(RETRY_S)
 
     def _look_soon(self):
         """Look once after what happens now, but not all the time."""
         wait_s = self._not_before - asyncio.get_running_loop().time()
         if wait_s > 0:
-            self._alarm.within(wait_s)
+            self._timer.schedule_within(wait_s)
         else:
-            self._alarm.soon()
+            self._timer.schedule_soon()
 
     def _look(self, now):
         """Start what can start; return whether anything waits or runs.
--- a/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
@@ -5,10 +5,10 @@
 import functools
 
 from anvilwell_decisions.batches import scoring
-from anvilwell_gateway import alarms
 from anvilwell_gateway import dialect as dialects
 from anvilwell_gateway.http import messages
 from anvilwell_gateway import measures
+from anvilwell_gateway import timers
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
@@ -49,15 +49,15 @@
         self._dialect = dialect
         self._batches_by_id = batches_by_id
         self._pacers_by_service = collections.defaultdict(scoring.Pacer)
-        self._alarm = alarms.Alarm(self.schedule)
+        self._timer = timers.Timer(self.schedule)
 
     def stop(self):
         """Start no more calls."""
-        self._alarm.stop()
+        self._timer.cancel()
 
     def schedule(self):
         """Start all scoring calls that may start now."""
-        self._alarm.stop()
+        self._timer.cancel()
         unscored = [
             (batch, item_id)
             for batch in self._batches_by_id.values()
@@ -72,7 +72,7 @@
             for batch, item_id in unscored
         ]
         if not all(started):
-            self._alarm.later(RETRY_S)
+            self._timer.schedule_in(RETRY_S)
 
     def _slots_by_service(self):
         """Return how many calls all replicas of a service run at once."""
@@ -130,7 +130,7 @@
             self._pause(batch, item_id)
             _LOG.log("scoring-fault", item_id=item_id, cause=repr(error))
         batch.has_ready.set()
-        self._alarm.soon()
+        self._timer.schedule_soon()
 
     def _pause(self, batch, item_id):
         """Let an item wait before its next call."""
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -6,7 +6,7 @@
 from anvilwell_gateway.batches import service as batch_service
 from anvilwell_gateway import claims
 from anvilwell_gateway import fleet as fleets
-from anvilwell_gateway import front as fronts
+from anvilwell_gateway import frontend as frontends
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import listening
 from anvilwell_gateway import live_calls as live
@@ -58,7 +58,7 @@
             self.peering,
             self._budget,
         )
-        self.front = fronts.Front(
+        self.frontend = frontends.Frontend(
             settings.entry,
             platform.dialect,
             self.fleet,
@@ -120,12 +120,12 @@
     @property
     def in_flight(self):
         """How many requests of callers are under way."""
-        return self.front.in_flight
+        return self.frontend.in_flight
 
     @property
     def port(self):
         """The port that callers connect to."""
-        return self.front.port
+        return self.frontend.port
 
     @property
     def peer_address(self):
@@ -145,13 +145,13 @@
     @property
     def health_port(self):
         """The port of readiness."""
-        return self.front.health_port
+        return self.frontend.health_port
 
     async def start(self):
         """Listen and begin to follow the store."""
         for problem in self._early.problems:
             _LOG.log("listens-late", cause=problem)
-        await self.front.start()
+        await self.frontend.start()
         await self.peering.start()
         await self._metrics.start()
         self.fleet.start(self.peer_address)
@@ -166,7 +166,7 @@
         parts that answer work until then; peers are answered last.
         """
         self._batches.refuse_new()
-        self.front.leave()
+        self.frontend.start_draining()
         loop = asyncio.get_running_loop()
         leave_at = loop.time() + LEAVE_S
         await self._stand_in.stop()
@@ -174,7 +174,7 @@
         await self.live_calls.usage.let_go()
         await self.fleet.presence.stop()
         await asyncio.sleep(leave_at - loop.time())
-        await self.front.finish()
+        await self.frontend.finish()
         await self.live_calls.usage.stop()
         await self._finish_peers()
 
@@ -187,7 +187,9 @@
 
     async def cut(self):
         """Answer what is under way at the end of the drain's limit."""
-        await asyncio.gather(self.front.cut(), self.peering.cut())
+        await asyncio.gather(
+            self.frontend.abort_requests(), self.peering.cut()
+        )
 
     async def stop(self):
         """Close everything."""
@@ -195,7 +197,7 @@
         await self.fleet.stop()
         await self.live_calls.stop()
         await self._batches.stop()
-        await self.front.stop()
+        await self.frontend.stop()
         await self.peering.stop()
         await self._metrics.stop()
         await self.fleet.close()
--- a/packages/gateway/anvilwell_gateway/events.py
+++ b/packages/gateway/anvilwell_gateway/events.py
@@ -6,4 +6,4 @@
 # Without a head or an event for so long, a run goes on elsewhere, in
 # seconds. Events come every 40 ms, every 150 ms from a slow replica, and
 # pause for about 0.4 s while it loads weights.
-STALL_S = 0.8
+STALL_TIMEOUT_S = 0.8
--- a/packages/gateway/anvilwell_gateway/sharing.py
+++ b/packages/gateway/anvilwell_gateway/fair_sharing.py
@@ -13,7 +13,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Sharing:
+class FairShareLimiter:
     """Lets live calls in by the `fair_shares.FairShares` of their service.
 
     Where the configuration knows no organisations nobody is kept back.
@@ -33,19 +33,19 @@
             fair_shares.FairShares
         )
         # The configuration that the highest priority was found in.
-        self._ranked = None
-        self._highest = 0
+        self._priorities_of = None
+        self._highest_priority = 0
 
     def _weight(self, priority):
         """Return the weight of a priority in the configuration in force."""
         current = self._configuration.current
-        if current is not self._ranked:
-            self._ranked = current
-            self._highest = priority_weights.highest_priority(current)
-        return priority_weights.weight(priority, self._highest)
+        if current is not self._priorities_of:
+            self._priorities_of = current
+            self._highest_priority = priority_weights.highest_priority(current)
+        return priority_weights.weight(priority, self._highest_priority)
 
     @contextlib.contextmanager
-    def place(self, attempt):
+    def admit(self, attempt):
         """Count `attempt`, an `attempts.Attempts`, while it is under way.
 
         Raises
@@ -71,7 +71,7 @@
         finally:
             kept.end(attempt.organisation, is_answered)
 
-    def refused(self, replica):
+    def record_refusal(self, replica):
         """Take in that a replica had no room for a call."""
         if not self._configuration.organisations.are_known:
             return
--- a/packages/gateway/anvilwell_gateway/forwarding.py
+++ b/packages/gateway/anvilwell_gateway/forwarding.py
@@ -9,10 +9,10 @@
 from anvilwell_decisions.requests import facts as request_facts
 from anvilwell_decisions.requests import retry_after
 from anvilwell_gateway import attempts
+from anvilwell_gateway import fair_sharing
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import messages
 from anvilwell_gateway import measures
-from anvilwell_gateway import sharing
 from anvilwell_gateway import streams
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
@@ -69,7 +69,9 @@
         self._retry_schedules_by_service = collections.defaultdict(
             retry_after.RetrySchedule
         )
-        self._sharing = sharing.Sharing(configuration, directory)
+        self._fair_sharing = fair_sharing.FairShareLimiter(
+            configuration, directory
+        )
         directory.listen(self._replicas_changed)
 
     def attempts(self, route, call, request):
@@ -80,7 +82,7 @@
         """Answer `request`, which `route` allows, through `responder`."""
         attempt = self.attempts(route, call, request)
         try:
-            with self._sharing.place(attempt):
+            with self._fair_sharing.admit(attempt):
                 held = await attempt.run()
         except exceptions.AnvilwellError as error:
             await self._fail(attempt, route, call, error, responder)
@@ -95,7 +97,7 @@
         """Pass the events of a replica on as they come."""
         attempt = streams.StreamAttempts(self, route, call, request, responder)
         try:
-            with self._sharing.place(attempt):
+            with self._fair_sharing.admit(attempt):
                 await attempt.run()
         except exceptions.AnvilwellError as error:
             if responder.has_started:
@@ -269,7 +271,7 @@
         if outcome.is_other:
             self._directory.set_aside(replica.replica_id)
         elif outcome.not_run:
-            self._sharing.refused(replica)
+            self._fair_sharing.record_refusal(replica)
         self._check(call, reply, outcome)
         self._report(replica, outcome)
         return reply
--- a/packages/gateway/anvilwell_gateway/front.py
+++ b/packages/gateway/anvilwell_gateway/frontend.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from anvilwell_gateway import cutting
+from anvilwell_gateway import aborting
 from anvilwell_gateway.http import server as servers
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
@@ -10,20 +10,20 @@
 from anvilwell_kernel.telemetry import logs
 
 # Poll of what a new process does not know yet, in seconds.
-POLL_S = 0.02
-NOT_CONFIGURED_RETRY_S = 0.3
+POLL_INTERVAL_S = 0.02
+NOT_CONFIGURED_RETRY_AFTER_S = 0.3
 # How long a call waits for the first configuration and list of replicas, a
 # batch for this entry's registration. They come 30 and 70 ms after the
 # start if the store answers; a refusal costs a caller one of its few tries.
-FIRST_WAIT_S = 0.25
+STARTUP_WAIT_S = 0.25
 # An entry that has run for so long and still lacks them refuses at once:
 # then the store is away, perhaps for seconds.
-STARTING_S = 1.0
+STARTUP_S = 1.0
 
 _LOG = logs.get_logger(__name__)
 
 
-class Front:
+class Frontend:
     """Finds the part that answers each call, or says why none does.
 
     Parameters
@@ -60,7 +60,7 @@
         self._health = servers.Server(
             settings.ready, self._answer_health, early.take(settings.ready)
         )
-        self._cutter = cutting.Cutter(self._server)
+        self._aborter = aborting.RequestAborter(self._server)
         self._is_draining = False
         self._started_at = asyncio.get_running_loop().time()
         fleet.configuration.listen(self._configured)
@@ -85,7 +85,7 @@
         await self._server.start()
         await self._health.start()
 
-    def leave(self):
+    def start_draining(self):
         """Be ready no more, and end each connection after its answer."""
         self._is_draining = True
         self._server.is_draining = True
@@ -94,14 +94,14 @@
         """Take nothing new, and answer what callers have sent."""
         await self._server.finish()
 
-    async def cut(self):
+    async def abort_requests(self):
         """Answer what is under way now, without a promise."""
-        await self._cutter.cut()
+        await self._aborter.abort()
 
     async def stop(self):
         """Close everything."""
         await self._server.stop()
-        await cutting.Cutter(self._health).cut()
+        await aborting.RequestAborter(self._health).abort()
         await self._health.stop()
 
     def _configured(self):
@@ -120,12 +120,12 @@
     async def _answer(self, request, responder):
         call = self._dialect.read_call(request.headers)
         try:
-            async with self._cutter.guard():
+            async with self._aborter.guard():
                 await self._dispatch(call, request, responder)
         except exceptions.AnvilwellError as error:
             if responder.has_started:
                 raise
-            await self._fail(call, error, responder)
+            await self._send_refusal(call, error, responder)
         except asyncio.CancelledError:
             _LOG.routine(
                 "request-cut",
@@ -136,20 +136,20 @@
             raise
 
     async def _dispatch(self, call, request, responder):
-        callers = self._live_calls.callers
+        admission = self._live_calls.admission
         request_handler = self._batches.request_handler
         batch_call = self._dialect.batch_call(request)
         if batch_call is not None:
             await self._wait_for(lambda: self._fleet.configuration.current)
             self._check_configured()
-            batch_call = callers.admit_batch_call(batch_call, request)
+            batch_call = admission.admit_batch_call(batch_call, request)
             await request_handler.answer(
                 batch_call, call.request_id, responder
             )
             return
         await self._wait_for(lambda: self._fleet.is_informed)
         self._check_configured()
-        route, request = callers.admit(request)
+        route, request = admission.admit(request)
         if route.is_batch:
             await self._wait_for(lambda: self._fleet.presence.is_registered)
             await request_handler.submit(route, call, request, responder)
@@ -164,15 +164,15 @@
                 reason=reasons.Refusal.NOT_CONFIGURED,
             )
 
-    async def _wait_for(self, is_known):
+    async def _wait_for(self, is_ready):
         """Wait a moment for what a new process does not know yet."""
         loop = asyncio.get_running_loop()
-        starts_until = self._started_at + STARTING_S
-        until = min(loop.time() + FIRST_WAIT_S, starts_until)
-        while not is_known() and loop.time() < until:
-            await asyncio.sleep(POLL_S)
+        startup_ends_at = self._started_at + STARTUP_S
+        deadline = min(loop.time() + STARTUP_WAIT_S, startup_ends_at)
+        while not is_ready() and loop.time() < deadline:
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _fail(self, call, error, responder):
+    async def _send_refusal(self, call, error, responder):
         counters.count_refusal(error.reason)
         current = self._fleet.configuration.current
         _LOG.log(
@@ -183,6 +183,8 @@
             reason=str(error.reason),
             cause=error.message,
         )
-        retry_after_s = NOT_CONFIGURED_RETRY_S if error.status == 503 else None
+        retry_after_s = (
+            NOT_CONFIGURED_RETRY_AFTER_S if error.status == 503 else None
+        )
         headers = self._dialect.failure_headers(call.request_id, retry_after_s)
         await responder.send(error.status, headers)
--- a/packages/gateway/anvilwell_gateway/live_calls.py
+++ b/packages/gateway/anvilwell_gateway/live_calls.py
@@ -1,6 +1,6 @@
 """The live calls of an entry: who may send them, and their way."""
 
-from anvilwell_gateway import callers
+from anvilwell_gateway import admission
 from anvilwell_gateway import crash_tracker
 from anvilwell_gateway.duties import reports
 from anvilwell_gateway import forwarding
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, settings, platform, fleet, pool):
-        self.callers = callers.Callers(
+        self.admission = admission.CallerAdmission(
             platform.dialect,
             fleet.configuration,
             fleet.presence,
--- a/packages/gateway/anvilwell_gateway/metrics_page.py
+++ b/packages/gateway/anvilwell_gateway/metrics_page.py
@@ -1,6 +1,6 @@
 """Serves the metrics of one process."""
 
-from anvilwell_gateway import cutting
+from anvilwell_gateway import aborting
 from anvilwell_gateway.http import server as servers
 from anvilwell_gateway import measures
 from anvilwell_kernel.telemetry import provider
@@ -26,7 +26,7 @@
 
     async def stop(self):
         """Answer what was read, and close everything."""
-        await cutting.Cutter(self).cut()
+        await aborting.RequestAborter(self).abort()
         await super().stop()
 
     async def _answer(self, request, responder):
--- a/packages/gateway/anvilwell_gateway/peering.py
+++ b/packages/gateway/anvilwell_gateway/peering.py
@@ -1,6 +1,6 @@
 """Where other VMs of ours ask this entry for help."""
 
-from anvilwell_gateway import cutting
+from anvilwell_gateway import aborting
 from anvilwell_gateway.http import server as servers
 from anvilwell_gateway import paths
 from anvilwell_kernel.config import options
@@ -28,7 +28,7 @@
         self._server.limits = servers.FIRST_LIMITS._replace(
             max_body_bytes=paths.MAX_ANSWER_BYTES
         )
-        self._cutter = cutting.Cutter(self._server)
+        self._aborter = aborting.RequestAborter(self._server)
 
     @property
     def address(self):
@@ -49,7 +49,7 @@
 
     async def cut(self):
         """Answer what is under way now, without a promise."""
-        await self._cutter.cut()
+        await self._aborter.abort()
 
     async def stop(self):
         """Close everything."""
@@ -57,7 +57,7 @@
 
     async def _answer(self, request, responder):
         try:
-            async with self._cutter.guard():
+            async with self._aborter.guard():
                 await self._handler(request)(request, responder)
         except exceptions.AnvilwellError as error:
             if responder.has_started:
--- a/packages/gateway/anvilwell_gateway/streams.py
+++ b/packages/gateway/anvilwell_gateway/streams.py
@@ -159,7 +159,7 @@
         if not self._route.is_resumable:
             return None
         if self._responder.has_started:
-            return events.STALL_S
+            return events.STALL_TIMEOUT_S
         return FIRST_STALL_SHARE * self._route.target_latency_s
 
     async def _pass_on(self, connection, reply):
--- a/packages/gateway/anvilwell_gateway/alarms.py
+++ b/packages/gateway/anvilwell_gateway/timers.py
@@ -3,45 +3,45 @@
 import asyncio
 
 
-class Alarm:
-    """Calls `look` once, at the time that was asked for last.
+class Timer:
+    """Calls `callback` once, at the time that was asked for last.
 
     Parameters
     ----------
-    look : callable
+    callback : callable
         Takes nothing.
     """
 
-    def __init__(self, look):
-        self._look = look
+    def __init__(self, callback):
+        self._callback = callback
         self._handle = None
         self._at = 0.0
 
-    def soon(self):
+    def schedule_soon(self):
         """Look once after all that happens now, such as many ends."""
-        self.stop()
+        self.cancel()
         loop = asyncio.get_running_loop()
         self._at = loop.time()
         self._handle = loop.call_soon(self._fire)
 
-    def later(self, wait_s):
+    def schedule_in(self, delay_s):
         """Look after so many seconds."""
-        self.stop()
+        self.cancel()
         loop = asyncio.get_running_loop()
-        self._at = loop.time() + wait_s
-        self._handle = loop.call_later(wait_s, self._fire)
+        self._at = loop.time() + delay_s
+        self._handle = loop.call_later(delay_s, self._fire)
 
-    def within(self, wait_s):
+    def schedule_within(self, delay_s):
         """Look after so many seconds, or sooner if that is planned."""
         now = asyncio.get_running_loop().time()
-        if self._handle is None or self._at > now + wait_s:
-            self.later(wait_s)
+        if self._handle is None or self._at > now + delay_s:
+            self.schedule_in(delay_s)
 
     def _fire(self):
         self._handle = None
-        self._look()
+        self._callback()
 
-    def stop(self):
+    def cancel(self):
         """Do not look."""
         if self._handle:
             self._handle.cancel()
