--- a/packages/decisions/anvilwell_decisions/requests/quarantine.py
+++ b/packages/decisions/anvilwell_decisions/requests/quarantine.py
@@ -12,7 +12,7 @@
 # A connection may be cut though the replica goes on. Its registration
 # lapses three heartbeats after its end, some four seconds, if nothing
 # else tells of it before.
-CUT_MEMORY_S = 6.0
+CUT_TTL_S = 6.0
 # After `SUSPECT_CRASHES`. A caller's own retries fall into it, so a third
 # replica stays for the other callers; a bystander that was unlucky twice
 # may come back after it.
@@ -23,7 +23,7 @@
 PROVEN_CRASHES = 3
 
 
-class _Cut(typing.NamedTuple):
+class _CutAnswer(typing.NamedTuple):
     """A request whose answer was cut, and when."""
 
     fingerprint: str
@@ -65,21 +65,21 @@
         return not self._records_by_fingerprint
 
     @property
-    def watched(self):
+    def cut_replica_ids(self):
         """Ids of the replicas that cut an answer lately."""
         return set(self._cuts_by_replica)
 
-    def cut(self, fingerprint, replica_id, now):
+    def record_cut(self, fingerprint, replica_id, now):
         """Note that a replica cut the answer to a request.
 
         Returns whether the replica is known to have ended, so that the
         end counts against the request at once.
         """
-        self._forget_old(now)
+        self._drop_expired(now)
         if replica_id in self._crashed_at_by_replica:
-            self.learn(fingerprint, [replica_id], now)
+            self.add_crashes(fingerprint, [replica_id], now)
             return True
-        self._cuts_by_replica[replica_id].append(_Cut(fingerprint, now))
+        self._cuts_by_replica[replica_id].append(_CutAnswer(fingerprint, now))
         return False
 
     def record_crash(self, replica_id, now):
@@ -90,15 +90,15 @@
         set of str
             Fingerprints of the requests that it counts against.
         """
-        self._forget_old(now)
+        self._drop_expired(now)
         self._crashed_at_by_replica[replica_id] = now
         cuts = self._cuts_by_replica.pop(replica_id, ())
         found = {cut.fingerprint for cut in cuts}
         for fingerprint in found:
-            self.learn(fingerprint, [replica_id], now)
+            self.add_crashes(fingerprint, [replica_id], now)
         return found
 
-    def learn(self, fingerprint, replica_ids, now):
+    def add_crashes(self, fingerprint, replica_ids, now):
         """Take in replicas that ended under a request."""
         known = self._records_by_fingerprint.get(fingerprint)
         before = known.replica_ids if known else frozenset()
@@ -107,16 +107,16 @@
                 before.union(replica_ids), max(now, known.at) if known else now
             )
 
-    def known(self, now):
+    def known_crashes(self, now):
         """Return a `KnownCrashes` of each request, most crashes first."""
-        self._forget_old(now)
-        known = [
+        self._drop_expired(now)
+        crashes = [
             KnownCrashes(fingerprint, tuple(sorted(ids)), now - at)
             for fingerprint, (ids, at) in self._records_by_fingerprint.items()
         ]
-        return sorted(known, key=lambda one: -len(one.replica_ids))
+        return sorted(crashes, key=lambda one: -len(one.replica_ids))
 
-    def answered(self, fingerprint):
+    def clear(self, fingerprint):
         """Note that a replica answered a request whole: it ends none."""
         self._records_by_fingerprint.pop(fingerprint, None)
 
@@ -159,7 +159,7 @@
             for fingerprint in self._records_by_fingerprint
         )
 
-    def _forget_old(self, now):
+    def _drop_expired(self, now):
         self._records_by_fingerprint = {
             fingerprint: record
             for fingerprint, record in self._records_by_fingerprint.items()
@@ -168,9 +168,9 @@
         self._crashed_at_by_replica = {
             replica_id: at
             for replica_id, at in self._crashed_at_by_replica.items()
-            if now - at < CUT_MEMORY_S
+            if now - at < CUT_TTL_S
         }
         for replica_id, cuts in list(self._cuts_by_replica.items()):
-            cuts[:] = [cut for cut in cuts if now - cut.at < CUT_MEMORY_S]
+            cuts[:] = [cut for cut in cuts if now - cut.at < CUT_TTL_S]
             if not cuts:
                 del self._cuts_by_replica[replica_id]
--- a/packages/decisions/tests/requests/overload_world.py
+++ b/packages/decisions/tests/requests/overload_simulation.py
@@ -16,15 +16,15 @@
 from anvilwell_decisions.requests import routing
 
 RETRY_AFTER_S = 0.25
-CALLERS_RETRIES = 1
+CALLER_RETRIES = 1
 # Replicas that one call may be sent to.
-MOST_REPLICAS = 3
+MAX_REPLICAS = 3
 HOP_S = 0.001
 CONTENTION = 2.5
-SPELL_S = 0.6
+SLOWDOWN_S = 0.6
 
 
-class NoShares:
+class UnlimitedShares:
     """What stands where no shares are kept: whoever comes is let in."""
 
     total = 0
@@ -45,11 +45,11 @@
     def answered(self, now):
         pass
 
-    def wait_s(self, now, left_s):
+    def wait_s(self, now, time_left_s):
         return RETRY_AFTER_S
 
 
-class Load(typing.NamedTuple):
+class Workload(typing.NamedTuple):
     """A service, its entries and the calls a second by organisation.
 
     ``paces`` are the replicas' times for the same work, in turn. While
@@ -62,7 +62,7 @@
     slots: int = 6
     queue: int = 24
     work_s: float = 0.0375
-    aim_s: float = 0.192
+    target_s: float = 0.192
     entries: int = 3
     seconds: float = 15.0
     weights_by_organisation: typing.Mapping = types.MappingProxyType({})
@@ -71,7 +71,7 @@
     is_contended: bool = False
 
     @property
-    def capacity(self):
+    def capacity_per_s(self):
         """Calls a second that the replicas can do."""
         speeds = itertools.cycle(1 / pace for pace in self.paces)
         total = sum(itertools.islice(speeds, self.replicas))
@@ -79,7 +79,7 @@
 
     def contention(self, replica, now):
         """Return how long work takes at a replica now, 1.0 as usual."""
-        spell = random.Random(f"{replica}/{now // SPELL_S}").random()
+        spell = random.Random(f"{replica}/{now // SLOWDOWN_S}").random()
         is_busy = self.is_contended and spell < 1 / 7
         return CONTENTION if is_busy else 1.0
 
@@ -93,12 +93,12 @@
         self.began_at = began_at
         self.tries = tries
         # When its caller first came.
-        self.came_at = began_at
+        self.first_sent_at = began_at
         self.sent_at = began_at
         self.tried = []
 
 
-class World:
+class Simulation:
     """Plays a load; counts what became of the calls by organisation."""
 
     def __init__(
@@ -109,7 +109,7 @@
         make_policy=routing.LeastOutstanding,
         make_schedule=ConstantRetryAfter,
     ):
-        self._load = load
+        self._workload = load
         self._make_policy = make_policy
         self._rng = random.Random(seed)
         self._events = []
@@ -120,67 +120,76 @@
         self._schedules = [make_schedule() for _ in range(load.entries)]
         self._running = [0] * load.replicas
         self._waiting = [collections.deque() for _ in range(load.replicas)]
-        self.asked = collections.Counter()
+        self.sent = collections.Counter()
         self.answered = collections.Counter()
         self.in_time = collections.Counter()
         self.refused = collections.Counter()
-        self.times_s = []
+        self.durations_s = []
 
     def _policy(self, seed):
         policy = self._make_policy(random.Random(seed))
-        for replica in range(self._load.replicas):
+        for replica in range(self._workload.replicas):
             policy.replica_up(facts.ReplicaFacts(str(replica)), 0.0)
         return policy
 
-    def _later(self, delay_s, what, *args):
-        event = (self.now + delay_s, next(self._order), what, args)
+    def _schedule_in(self, delay_s, callback, *args):
+        event = (self.now + delay_s, next(self._order), callback, args)
         heapq.heappush(self._events, event)
 
-    def play(self):
+    def run(self):
         """Play the whole load; return self."""
-        for organisation, rate in self._load.rates_by_organisation.items():
-            self._later(self._rng.expovariate(rate), self._ask, organisation)
-        while self._events and self._events[0][0] < self._load.seconds:
-            self.now, _, what, args = heapq.heappop(self._events)
-            what(*args)
+        for (
+            organisation,
+            rate,
+        ) in self._workload.rates_by_organisation.items():
+            self._schedule_in(
+                self._rng.expovariate(rate), self._send_new_call, organisation
+            )
+        while self._events and self._events[0][0] < self._workload.seconds:
+            self.now, _, callback, args = heapq.heappop(self._events)
+            callback(*args)
         return self
 
     def share(self, counts, prefix):
         """Return the part of the calls of some organisations in `counts`."""
-        names = [name for name in self.asked if name.startswith(prefix)]
+        names = [name for name in self.sent if name.startswith(prefix)]
         return sum(counts[name] for name in names) / sum(
-            self.asked[name] for name in names
+            self.sent[name] for name in names
         )
 
-    def _ask(self, organisation):
-        self.asked[organisation] += 1
-        rate = self._load.rates_by_organisation[organisation]
-        self._later(self._rng.expovariate(rate), self._ask, organisation)
-        self._arrive(organisation, 0)
+    def _send_new_call(self, organisation):
+        self.sent[organisation] += 1
+        rate = self._workload.rates_by_organisation[organisation]
+        self._schedule_in(
+            self._rng.expovariate(rate), self._send_new_call, organisation
+        )
+        self._begin_call(organisation, 0)
 
-    def _arrive(self, organisation, tries, came_at=None):
-        entry = self._rng.randrange(self._load.entries)
+    def _begin_call(self, organisation, tries, first_sent_at=None):
+        entry = self._rng.randrange(self._workload.entries)
         call = Call(organisation, entry, self.now, tries)
-        if came_at is not None:
-            call.came_at = came_at
-        weight = self._load.weights_by_organisation.get(organisation, 1.0)
+        if first_sent_at is not None:
+            call.first_sent_at = first_sent_at
+        weight = self._workload.weights_by_organisation.get(organisation, 1.0)
         if self.shares[entry].begin(organisation, self.now, weight):
             self._send(call)
         else:
             self._refuse(call)
 
     def _refuse(self, call):
-        if call.tries < CALLERS_RETRIES:
+        if call.tries < CALLER_RETRIES:
             schedule = self._schedules[call.entry]
-            left_s = call.came_at + self._load.limit_s - self.now
-            wait_s = schedule.wait_s(self.now, left_s)
+            time_left_s = (
+                call.first_sent_at + self._workload.limit_s - self.now
+            )
+            wait_s = schedule.wait_s(self.now, time_left_s)
             wait_s *= self._rng.uniform(1.0, 1.4)
-            self._later(
+            self._schedule_in(
                 wait_s,
-                self._arrive,
+                self._begin_call,
                 call.organisation,
                 call.tries + 1,
-                call.came_at,
+                call.first_sent_at,
             )
         else:
             self.refused[call.organisation] += 1
@@ -188,10 +197,10 @@
     def _send(self, call):
         """Ask the next replica."""
         policy = self._policies[call.entry]
-        wanted = facts.RequestFacts("r", excluded=frozenset(call.tried))
+        request = facts.RequestFacts("r", excluded=frozenset(call.tried))
         chosen = None
-        if len(call.tried) < MOST_REPLICAS:
-            chosen = policy.choose(wanted, self.now)
+        if len(call.tried) < MAX_REPLICAS:
+            chosen = policy.choose(request, self.now)
         if chosen is None:
             self.shares[call.entry].end(call.organisation, False)
             self._refuse(call)
@@ -200,39 +209,39 @@
         call.sent_at = self.now
         policy.started(chosen, self.now)
         replica = int(chosen)
-        if self._running[replica] < self._load.slots:
+        if self._running[replica] < self._workload.slots:
             self._run(replica, call)
-        elif len(self._waiting[replica]) < self._load.queue:
+        elif len(self._waiting[replica]) < self._workload.queue:
             self._waiting[replica].append(call)
         else:
             policy.ended(facts.AttemptEnd(chosen, True, HOP_S), self.now)
             self.shares[call.entry].refused(
-                chosen, self._load.replicas, self.now
+                chosen, self._workload.replicas, self.now
             )
-            self._later(HOP_S, self._send, call)
+            self._schedule_in(HOP_S, self._send, call)
 
     def _run(self, replica, call):
         self._running[replica] += 1
-        load = self._load
+        load = self._workload
         work_s = self._rng.expovariate(1 / load.work_s)
         pace = load.paces[replica % len(load.paces)]
-        took_s = work_s * pace * load.contention(replica, self.now)
-        self._later(took_s, self._done, replica, call)
+        duration_s = work_s * pace * load.contention(replica, self.now)
+        self._schedule_in(duration_s, self._done, replica, call)
 
     def _done(self, replica, call):
         self._running[replica] -= 1
         if self._waiting[replica]:
             self._run(replica, self._waiting[replica].popleft())
-        took_s = self.now - call.began_at
+        duration_s = self.now - call.began_at
         policy = self._policies[call.entry]
-        there = self._running[replica] + len(self._waiting[replica])
+        in_flight = self._running[replica] + len(self._waiting[replica])
         policy.report(
             facts.LoadReport(
                 str(replica),
-                there,
+                in_flight,
                 0,
-                self._load.slots,
-                self._load.contention(replica, self.now),
+                self._workload.slots,
+                self._workload.contention(replica, self.now),
             ),
             self.now,
         )
@@ -242,8 +251,10 @@
             ),
             self.now,
         )
-        self.times_s.append(took_s)
+        self.durations_s.append(duration_s)
         self.shares[call.entry].end(call.organisation, True)
         self._schedules[call.entry].answered(self.now)
         self.answered[call.organisation] += 1
-        self.in_time[call.organisation] += took_s <= self._load.aim_s
+        self.in_time[call.organisation] += (
+            duration_s <= self._workload.target_s
+        )
--- a/packages/decisions/tests/requests/test_admission.py
+++ b/packages/decisions/tests/requests/test_admission.py
@@ -27,7 +27,7 @@
         self.states = {}
         self.admitted_at = {}
 
-    def _take(self, action):
+    def _apply(self, action):
         ticket_id = action.ticket_id
         old = self.states.get(ticket_id)
         assert old in (None, "queued"), "a second answer"
@@ -55,13 +55,13 @@
 
     @stateful.rule(
         priority=st.sampled_from(tuple(facts.Priority)),
-        patience=st.sampled_from((0.0, 0.5, 2.0, 30.0)),
+        time_left_s=st.sampled_from((0.0, 0.5, 2.0, 30.0)),
     )
-    def offer(self, priority, patience):
+    def offer(self, priority, time_left_s):
         ticket_id = f"t{len(self.tickets)}"
-        ticket = admission.Ticket(ticket_id, priority, self.now + patience)
+        ticket = admission.Ticket(ticket_id, priority, self.now + time_left_s)
         self.tickets[ticket_id] = ticket
-        self._take(self.admission.offer(ticket, self.now))
+        self._apply(self.admission.offer(ticket, self.now))
 
     @stateful.precondition(lambda self: "running" in self.states.values())
     @stateful.rule(data=st.data(), slow=st.sampled_from((0.1, 1.0, 3.0)))
@@ -71,7 +71,7 @@
         self.now += slow / 4
         self.states[ticket_id] = "done"
         for action in self.admission.finished(ticket_id, self.now, slow):
-            self._take(action)
+            self._apply(action)
 
     @stateful.precondition(lambda self: "queued" in self.states.values())
     @stateful.rule(data=st.data())
@@ -80,13 +80,13 @@
         ticket_id = data.draw(st.sampled_from(queued))
         self.states[ticket_id] = "done"
         for action in self.admission.cancel(ticket_id, self.now):
-            self._take(action)
+            self._apply(action)
 
     @stateful.rule(seconds=st.sampled_from((0.1, 1.0, 5.0)))
     def wait(self, seconds):
         self.now += seconds
         for action in self.admission.expire(self.now):
-            self._take(action)
+            self._apply(action)
         overdue = [
             t
             for t, state in self.states.items()
@@ -97,7 +97,7 @@
     @stateful.rule()
     def drain(self):
         for action in self.admission.drain():
-            self._take(action)
+            self._apply(action)
         assert "queued" not in self.states.values()
 
     @stateful.invariant()
@@ -115,7 +115,7 @@
         )
 
     @stateful.invariant()
-    def nothing_waits_without_cause(self):
+    def live_waits_only_at_the_limit(self):
         """Live never waits while there is room at the server."""
         running = sum(s == "running" for s in self.states.values())
         assert self.admission.in_flight == running
@@ -136,7 +136,7 @@
     return admission.Ticket(ticket_id, priority, deadline, work)
 
 
-def test_reserve_keeps_training_out_of_the_last_places():
+def test_training_is_kept_out_of_the_live_reserve():
     gate = admission.Admission(SETTINGS)
     for number in range(3):
         ticket = _ticket(f"t{number}", TRAINING)
@@ -145,7 +145,7 @@
     assert isinstance(gate.offer(_ticket("live"), 0.0), admission.Admit)
 
 
-def test_live_that_waits_goes_before_training_that_came_first():
+def test_queued_live_is_admitted_before_earlier_training():
     gate = admission.Admission(SETTINGS)
     for number in range(4):
         gate.offer(_ticket(f"r{number}"), 0.0)
@@ -155,7 +155,7 @@
     assert actions == [admission.Admit("live")]
 
 
-def test_a_deadline_that_cannot_be_met_is_refused_at_once():
+def test_deadline_that_cannot_be_met_is_refused_at_once():
     gate = admission.Admission(SETTINGS)
     gate.offer(_ticket("a"), 0.0)
     gate.finished("a", 10.0, 10.0)
@@ -165,7 +165,7 @@
     assert answer == admission.Admit("c")
 
 
-def test_a_queue_that_is_full_refuses_and_says_when_to_return():
+def test_full_queue_refuses_with_a_retry_delay():
     gate = admission.Admission(SETTINGS)
     for number in range(8):
         gate.offer(_ticket(f"t{number}"), 0.0)
@@ -174,7 +174,7 @@
     assert answer.retry_after_s > 0
 
 
-def test_drain_refuses_what_waits_and_lets_the_rest_run():
+def test_drain_refuses_queued_and_lets_running_finish():
     gate = admission.Admission(SETTINGS)
     for number in range(6):
         gate.offer(_ticket(f"t{number}"), 0.0)
@@ -199,7 +199,7 @@
     assert limit.limit >= 2
 
 
-def test_training_leaves_the_reserve_free_beside_live():
+def test_training_leaves_the_live_reserve_free():
     gate = admission.Admission(SETTINGS)
     for number in range(3):
         gate.offer(_ticket(f"live{number}"), 0.0)
@@ -208,7 +208,7 @@
     assert gate.finished("live0", 1.0, 1.0) == [admission.Admit("training")]
 
 
-def test_a_server_that_lets_requests_wait_caps_the_limit():
+def test_queueing_in_the_server_caps_the_limit():
     gate = admission.Admission(SETTINGS)
     gate.record_server_load(running=3, waiting=0)
     assert gate.limit == 4
@@ -216,7 +216,7 @@
     assert gate.limit == 3
 
 
-def test_a_cap_is_tried_again_after_some_windows():
+def test_cap_is_raised_again_after_some_windows():
     limit = limits.AdaptiveLimit(limits.LimitBounds(initial=10, window=1))
     limit.record_saturation(6)
     grown = [limit.observe(1.0, 1.0, 20) or limit.limit for _ in range(9)]
@@ -231,7 +231,7 @@
     assert limit.limit == 10
 
 
-def test_limit_learns_anew_when_the_server_itself_is_slower():
+def test_limit_relearns_its_baseline_when_the_server_slows_down():
     limit = limits.AdaptiveLimit(limits.LimitBounds(initial=4, window=1))
     limit.observe(1.0, 1.0, 4)
     for _ in range(60):
@@ -240,7 +240,7 @@
     assert limit.limit > 2
 
 
-def test_what_became_late_in_the_queue_is_refused_and_not_run():
+def test_queued_request_that_became_late_is_refused():
     gate = admission.Admission(SETTINGS._replace(live_reserve=0.0))
     for number in range(4):
         gate.offer(_ticket(f"t{number}"), 0.0)
@@ -251,7 +251,7 @@
     assert admitted == admission.Admit("training")
 
 
-def test_long_training_does_not_make_live_seem_slow():
+def test_long_training_does_not_raise_live_estimates():
     gate = admission.Admission(SETTINGS)
     for number in range(20):
         name = f"t{number}"
--- a/packages/decisions/tests/requests/test_byte_budget.py
+++ b/packages/decisions/tests/requests/test_byte_budget.py
@@ -23,7 +23,7 @@
     assert pages[0] == PAGE_BYTES
 
 
-def test_what_has_not_run_is_refused_first():
+def test_new_bodies_are_refused_while_answers_are_held():
     budget = byte_budget.ByteBudget(100)
     assert budget.try_hold(60)
     assert not budget.try_hold(50)
@@ -34,7 +34,7 @@
     assert budget.try_hold(50)
 
 
-def test_a_vm_that_tells_no_memory_has_a_budget():
+def test_unknown_memory_size_gives_the_default_budget():
     assert (
         byte_budget.ByteBudget.from_memory(0).total_bytes
         == byte_budget.DEFAULT_BYTES
--- a/packages/decisions/tests/requests/test_claims.py
+++ b/packages/decisions/tests/requests/test_claims.py
@@ -106,13 +106,13 @@
         entry=st.sampled_from(ENTRIES),
         key=st.sampled_from(KEYS),
         digest=st.sampled_from(("d", "d", "d", "other")),
-        patience=st.sampled_from((1.0, 5.0)),
+        time_left_s=st.sampled_from((1.0, 5.0)),
     )
-    def ask(self, entry, key, digest, patience):
+    def ask(self, entry, key, digest, time_left_s):
         claim_id = f"c{next(self.numbers)}"
         self.requests[claim_id] = Request(key, digest)
         request = claims.ClaimRequest(
-            claim_id, key, digest, self.now + patience
+            claim_id, key, digest, self.now + time_left_s
         )
         self._do(entry, self.trackers[entry].claim(request, self.now))
 
@@ -135,7 +135,7 @@
 
     @stateful.precondition(lambda self: self.delayed)
     @stateful.rule(data=st.data())
-    def land_late(self, data):
+    def apply_delayed(self, data):
         number = data.draw(st.integers(0, len(self.delayed) - 1))
         self.store.apply(self.delayed.pop(number).swaps)
 
@@ -182,7 +182,7 @@
             assert ran <= 1, key
 
     @stateful.invariant()
-    def not_run_is_true(self):
+    def not_run_verdict_is_correct(self):
         waiting = {claim_id for _, claim_id in self.forwarded}
         for claim_id, request in self.requests.items():
             for answer in request.answers:
@@ -225,7 +225,7 @@
     assert _forwarded(tracker, store, "c1") == [claims.Forward("c1")]
 
 
-def test_a_lost_write_that_landed_is_known_again_as_ours():
+def test_unanswered_write_that_was_applied_is_recognised():
     tracker, store = claims.ClaimTracker("a/1"), Store()
     (write,) = _ask(tracker, "c1")
     store.apply(write.swaps)
@@ -235,7 +235,7 @@
     assert actions == [claims.Forward("c1")]
 
 
-def test_a_claim_given_up_in_an_outage_frees_its_key_afterwards():
+def test_claim_abandoned_in_an_outage_is_deleted_afterwards():
     tracker, store = claims.ClaimTracker("a/1"), Store()
     (write,) = _ask(tracker, "c1")
     store.apply(write.swaps)
@@ -251,7 +251,7 @@
     assert _forwarded(other, store, "c2") == [claims.Forward("c2")]
 
 
-def test_a_repeat_elsewhere_gets_the_recorded_outcome():
+def test_repeat_at_another_entry_replays_the_outcome():
     tracker, store = claims.ClaimTracker("a/1"), Store()
     _forwarded(tracker, store, "c1")
     outcome = records.RecordedOutcome(201, "text/plain", b"sent")
@@ -262,7 +262,7 @@
     assert actions == [claims.Replay("c2", outcome)]
 
 
-def test_a_repeat_after_a_crash_is_told_that_it_may_have_run():
+def test_repeat_after_a_crash_may_have_run():
     store = Store()
     _forwarded(claims.ClaimTracker("a/1"), store, "c1")
     other = claims.ClaimTracker("a/2")
@@ -271,7 +271,7 @@
     assert reject.reason is reasons.Refusal.OUTCOME_UNKNOWN
 
 
-def test_a_repeat_while_it_runs_is_told_so():
+def test_repeat_while_the_first_runs_is_in_progress():
     store = Store()
     _forwarded(claims.ClaimTracker("a/1"), store, "c1")
     other = claims.ClaimTracker("b/1")
@@ -288,7 +288,7 @@
     assert reject.verdict is NOT_RUN
 
 
-def test_claims_that_wait_go_out_in_one_write():
+def test_queued_claims_share_one_write():
     tracker, store = claims.ClaimTracker("a/1"), Store()
     (first,) = _ask(tracker, "c0", key="k0")
     for number in range(1, 50):
@@ -317,7 +317,7 @@
     assert len(keys) == 100
 
 
-def test_a_void_claim_that_lands_late_is_freed_on_the_next_repeat():
+def test_void_claim_applied_late_is_deleted_on_the_next_repeat():
     tracker, store = claims.ClaimTracker("a/1"), Store()
     (late,) = _ask(tracker, "c1")
     (again,) = tracker.written(late.write_id, claims.WriteUnknown(), 0.0)
--- a/packages/decisions/tests/requests/test_ejection.py
+++ b/packages/decisions/tests/requests/test_ejection.py
@@ -32,7 +32,7 @@
     return {policy.choose(request, now) for _ in range(200)}
 
 
-def test_a_replica_that_fails_in_a_row_is_out_and_comes_back():
+def test_repeated_failures_eject_a_replica_for_a_while():
     policy = _policy()
     _fail(policy, "r0")
     assert policy.ejected == ["r0"]
@@ -40,7 +40,7 @@
     assert "r0" in _chosen(policy, 2.0)
 
 
-def test_one_success_starts_the_count_again():
+def test_success_resets_the_failure_count():
     policy = _policy()
     _fail(policy, "r0", times=FAILED - 1)
     policy.ended(facts.AttemptEnd("r0", False, 0.1), 0.0)
@@ -48,7 +48,7 @@
     assert policy.ejected == []
 
 
-def test_one_failure_after_the_return_is_enough_and_it_stays_longer():
+def test_failure_after_readmission_ejects_for_longer():
     policy = _policy()
     _fail(policy, "r0")
     _chosen(policy, 2.0)
@@ -67,7 +67,7 @@
     assert _chosen(alone, 0.0) == {"r0"}
 
 
-def test_a_request_that_only_an_ejected_replica_can_take_gets_it():
+def test_ejected_replica_is_used_if_no_other_is_eligible():
     policy = _policy()
     only = facts.ReplicaFacts("r9", versions=frozenset({"8"}))
     policy.replica_up(only, 0.0)
@@ -77,7 +77,7 @@
     assert policy.choose(request, 0.0) == "r9"
 
 
-def test_a_replica_that_is_down_does_not_come_back_by_itself():
+def test_removed_replica_is_not_readmitted():
     policy = _policy()
     _fail(policy, "r0")
     policy.replica_down("r0", 1.0)
--- a/packages/decisions/tests/requests/test_expected_latency.py
+++ b/packages/decisions/tests/requests/test_expected_latency.py
@@ -7,7 +7,7 @@
 import random
 import statistics
 
-import overload_world as worlds
+import overload_simulation as simulations
 import pytest
 
 from anvilwell_decisions.requests import expected_latency
@@ -15,36 +15,39 @@
 from anvilwell_decisions.requests import routing
 from anvilwell_decisions.requests import service_times
 
-UNEVEN = worlds.Load(
+UNEVEN = simulations.Workload(
     {}, entries=20, paces=(0.7, 0.7, 1.7), is_contended=True, seconds=8.0
 )
 REPLICAS = ("r0", "r1", "r2")
 WORK_S = 0.04
 
 
-def _mean_s(make_policy, share):
-    rates = {"callers": share * UNEVEN.capacity}
+def _mean_duration_s(make_policy, share):
+    rates = {"callers": share * UNEVEN.capacity_per_s}
     load = UNEVEN._replace(rates_by_organisation=rates)
-    times_s = [
-        took_s
+    durations_s = [
+        duration_s
         for seed in range(4)
-        for took_s in worlds.World(
-            load, worlds.NoShares, seed, make_policy=make_policy
+        for duration_s in simulations.Simulation(
+            load, simulations.UnlimitedShares, seed, make_policy=make_policy
         )
-        .play()
-        .times_s
+        .run()
+        .durations_s
     ]
-    return statistics.mean(times_s)
+    return statistics.mean(durations_s)
 
 
 @pytest.mark.parametrize("share", [0.1, 0.2, 0.4])
-def test_calls_take_less_where_replicas_differ(share):
-    standing_s = _mean_s(routing.LeastOutstanding, share)
+def test_mean_latency_is_lower_with_uneven_replicas(share):
+    least_load_s = _mean_duration_s(routing.LeastOutstanding, share)
 
-    assert _mean_s(expected_latency.LeastExpectedLatency, share) < standing_s
+    assert (
+        _mean_duration_s(expected_latency.LeastExpectedLatency, share)
+        < least_load_s
+    )
 
 
-class Alone:
+class SingleEntry:
     """One entry that sends one call after another."""
 
     def __init__(self, works_by_id, contentions_by_id=None):
@@ -62,50 +65,50 @@
     def _send(self):
         chosen = self.policy.choose(facts.RequestFacts("c"), self.now)
         self.policy.started(chosen, self.now)
-        took_s = self.works_by_id[chosen]
-        self.now += took_s
+        duration_s = self.works_by_id[chosen]
+        self.now += duration_s
         contention = self._contentions_by_id.get(chosen, 1.0)
         self.policy.report(
             facts.LoadReport(chosen, 1, 1, 6, contention), self.now
         )
         self.policy.ended(
-            facts.AttemptEnd(chosen, False, took_s, True), self.now
+            facts.AttemptEnd(chosen, False, duration_s, True), self.now
         )
         return chosen
 
 
-def test_a_replica_that_turns_slow_is_left_and_tried_again():
-    alone = Alone(dict.fromkeys(REPLICAS, WORK_S))
-    alone.send(100)
-    alone.works_by_id["r0"] = 10 * WORK_S
+def test_degraded_replica_is_avoided_and_tried_again():
+    entry = SingleEntry(dict.fromkeys(REPLICAS, WORK_S))
+    entry.send(100)
+    entry.works_by_id["r0"] = 10 * WORK_S
 
-    slow = alone.send(40).count("r0")
+    slow = entry.send(40).count("r0")
     assert slow <= service_times.DEGRADED_ANSWERS
 
-    alone.works_by_id["r0"] = WORK_S
-    alone.now += service_times.DEGRADED_TTL_S
-    assert "r0" in alone.send(40)
+    entry.works_by_id["r0"] = WORK_S
+    entry.now += service_times.DEGRADED_TTL_S
+    assert "r0" in entry.send(40)
 
 
-def test_a_moment_of_contention_is_waited_out_elsewhere():
-    alone = Alone(dict.fromkeys(REPLICAS, WORK_S))
-    alone.send(100)
-    alone.policy.report(facts.LoadReport("r0", 0, 0, 6, 2.5), alone.now)
+def test_contended_replica_is_avoided_until_its_report_expires():
+    entry = SingleEntry(dict.fromkeys(REPLICAS, WORK_S))
+    entry.send(100)
+    entry.policy.report(facts.LoadReport("r0", 0, 0, 6, 2.5), entry.now)
 
-    assert "r0" not in alone.send(5)
+    assert "r0" not in entry.send(5)
     # The moment is over, though nobody said so.
-    assert "r0" in alone.send(40)
+    assert "r0" in entry.send(40)
 
 
-def test_a_replica_that_lies_about_its_contention_gains_nothing():
+def test_false_contention_report_attracts_no_calls():
     works_by_id = dict.fromkeys(REPLICAS, WORK_S) | {"r0": 3 * WORK_S}
-    alone = Alone(works_by_id, {"r0": 0.1})
-    alone.send(100)
+    entry = SingleEntry(works_by_id, {"r0": 0.1})
+    entry.send(100)
 
-    assert alone.send(100).count("r0") < 100 / len(REPLICAS)
+    assert entry.send(100).count("r0") < 100 / len(REPLICAS)
 
 
-def test_where_no_contention_is_told_the_least_load_decides():
+def test_without_contention_reports_the_least_load_decides():
     policies = [
         routing.LeastOutstanding(random.Random(7)),
         expected_latency.LeastExpectedLatency(random.Random(7)),
--- a/packages/decisions/tests/requests/test_fair_shares.py
+++ b/packages/decisions/tests/requests/test_fair_shares.py
@@ -6,7 +6,7 @@
 answered.
 """
 
-import overload_world as worlds
+import overload_simulation as simulations
 import pytest
 
 from anvilwell_decisions.requests import fair_shares
@@ -15,63 +15,65 @@
 LARGE, SMALL = "large", "small"
 
 
-def _load(large, small=0.1, entries=3, larges=3, smalls=60):
+def _workload(large, small=0.1, entries=3, larges=3, smalls=60):
     """Return a load in parts of what the replicas can do."""
-    capacity = worlds.Load({}).capacity
-    rates = {f"{LARGE}-{i}": large * capacity / larges for i in range(larges)}
-    rates |= {f"{SMALL}-{i}": small * capacity / 60 for i in range(smalls)}
-    return worlds.Load(rates, entries=entries)
+    capacity_per_s = simulations.Workload({}).capacity_per_s
+    rates = {
+        f"{LARGE}-{i}": large * capacity_per_s / larges for i in range(larges)
+    }
+    rates |= {
+        f"{SMALL}-{i}": small * capacity_per_s / 60 for i in range(smalls)
+    }
+    return simulations.Workload(rates, entries=entries)
 
 
-def _play(load, make_shares=fair_shares.FairShares):
-    return worlds.World(load, make_shares).play()
+def _run_workload(load, make_shares=fair_shares.FairShares):
+    return simulations.Simulation(load, make_shares).run()
 
 
 @pytest.mark.parametrize("entries", [1, 3, 17])
 @pytest.mark.parametrize("large", [1.5, 4.0])
-def test_small_ones_are_answered_while_large_ones_send_too_much(
-    large, entries
-):
-    played = _play(_load(large, entries=entries))
+def test_small_organisations_are_answered_beside_large_ones(large, entries):
+    finished = _run_workload(_workload(large, entries=entries))
 
     # Each asks for a tenth of its share, so all of it is owed.
-    assert played.share(played.answered, SMALL) > 0.95
+    assert finished.share(finished.answered, SMALL) > 0.95
 
 
 @pytest.mark.parametrize("entries", [1, 3, 17])
 def test_shares_cost_no_throughput(entries):
-    load = _load(4.0, entries=entries)
-    without = _play(load, worlds.NoShares).answered.total()
+    load = _workload(4.0, entries=entries)
+    without = _run_workload(load, simulations.UnlimitedShares).answered.total()
 
-    assert _play(load).answered.total() > 0.97 * without
+    assert _run_workload(load).answered.total() > 0.97 * without
 
 
-def test_large_ones_get_equal_parts():
-    load = _load(4.0)
+def test_large_organisations_get_equal_shares():
+    load = _workload(4.0)
     rates = dict(load.rates_by_organisation)
     rates[f"{LARGE}-0"] *= 3
 
-    played = _play(load._replace(rates_by_organisation=rates))
+    finished = _run_workload(load._replace(rates_by_organisation=rates))
 
-    parts = [played.answered[f"{LARGE}-{i}"] for i in range(3)]
+    parts = [finished.answered[f"{LARGE}-{i}"] for i in range(3)]
     assert max(parts) < 1.25 * min(parts)
 
 
-def test_one_organisation_alone_has_all_places():
-    load = _load(4.0, larges=1, smalls=0)
-    without = _play(load, worlds.NoShares).answered.total()
+def test_single_organisation_gets_all_capacity():
+    load = _workload(4.0, larges=1, smalls=0)
+    without = _run_workload(load, simulations.UnlimitedShares).answered.total()
 
-    assert _play(load).answered.total() > 0.97 * without
+    assert _run_workload(load).answered.total() > 0.97 * without
 
 
-def test_nobody_is_kept_back_where_places_suffice():
-    played = _play(_load(0.5))
+def test_no_limit_while_capacity_suffices():
+    finished = _run_workload(_workload(0.5))
 
-    assert not played.refused
-    assert all(fair.limit is None for fair in played.shares)
+    assert not finished.refused
+    assert all(fair.limit is None for fair in finished.shares)
 
 
-def test_a_replica_that_refuses_without_cause_is_no_shortage():
+def test_one_refusing_replica_is_no_overload():
     fair = fair_shares.FairShares()
     for number in range(20):
         assert fair.begin("a", 0.0)
@@ -80,7 +82,7 @@
     assert fair.limit is None
 
 
-def test_refusals_long_apart_are_no_shortage():
+def test_refusals_long_apart_are_no_overload():
     fair = fair_shares.FairShares()
     fair.begin("a", 0.0)
     fair.refused("r1", 3, 0.0)
@@ -89,7 +91,7 @@
     assert fair.limit is None
 
 
-def test_a_limit_that_keeps_nobody_back_is_dropped():
+def test_unused_limit_is_dropped():
     fair = _overloaded(["a", "a", "a", "b"])
 
     assert not fair.begin("a", 0.1)
@@ -99,14 +101,14 @@
     assert fair.limit is None
 
 
-def test_who_has_nothing_under_way_is_let_in():
+def test_organisation_without_calls_in_flight_is_admitted():
     fair = _overloaded(["a", "a", "a", "a"])
 
     assert fair.begin("b", 0.1)
     assert not fair.begin("b", 0.1)
 
 
-def test_only_organisations_with_calls_under_way_are_remembered():
+def test_idle_organisations_are_not_stored():
     fair = _overloaded(["a", "b"])
     for organisation in ("a", "b"):
         fair.end(organisation, True)
@@ -128,21 +130,21 @@
 
 @pytest.mark.parametrize("entries", [1, 3, 20])
 def test_ranks_share_by_weight_and_none_starves(entries):
-    capacity = worlds.Load({}).capacity
+    capacity_per_s = simulations.Workload({}).capacity_per_s
     weights = {
         name: priority_weights.weight(priority, 0)
         for priority, name in enumerate(("first", "second", "third"))
     }
-    load = worlds.Load(
-        dict.fromkeys(weights, capacity),
+    load = simulations.Workload(
+        dict.fromkeys(weights, capacity_per_s),
         entries=entries,
         weights_by_organisation=weights,
     )
-    played = worlds.World(load, fair_shares.FairShares).play()
+    finished = simulations.Simulation(load, fair_shares.FairShares).run()
 
     first, second, third = (
-        played.answered[name] / played.asked[name] for name in weights
+        finished.answered[name] / finished.sent[name] for name in weights
     )
     assert first > second > third
-    of_all = played.answered.total() / played.asked.total()
+    of_all = finished.answered.total() / finished.sent.total()
     assert third > priority_weights.MIN_WEIGHT * of_all
--- a/packages/decisions/tests/requests/test_fingerprints.py
+++ b/packages/decisions/tests/requests/test_fingerprints.py
@@ -16,13 +16,13 @@
 
 @hypothesis.given(_PARTS, _PARTS)
 def test_only_the_same_request_has_the_same_fingerprint(one, other):
-    made = fingerprints.fingerprint(*one)
+    digest = fingerprints.fingerprint(*one)
 
-    assert made == fingerprints.fingerprint(*one)
-    assert (made == fingerprints.fingerprint(*other)) == (one == other)
+    assert digest == fingerprints.fingerprint(*one)
+    assert (digest == fingerprints.fingerprint(*other)) == (one == other)
 
 
-def test_what_moves_between_two_parts_changes_the_fingerprint():
+def test_moving_bytes_between_parts_changes_the_fingerprint():
     one = fingerprints.fingerprint("GET", "host", "/a", b"b")
 
     assert one != fingerprints.fingerprint("GET", "hos", "t/a", b"b")
--- a/packages/decisions/tests/requests/test_grants.py
+++ b/packages/decisions/tests/requests/test_grants.py
@@ -101,7 +101,7 @@
     assert abs(shares["b"] - 10) < 1
 
 
-def test_a_silent_entrys_share_goes_to_the_others():
+def test_share_of_a_silent_entry_goes_to_the_others():
     issuer = grants.Issuer("t", LIMIT_PER_S, 1, -100.0)
     rates = {e: grants.TeamRate("t", e) for e in ("a", "b")}
     _rounds(issuer, rates, {"a": 50, "b": 50}, 0.0, 5)
@@ -144,7 +144,7 @@
     assert rate.rate_per_s(9.0) == 0.0
 
 
-def test_the_bucket_lets_its_rate_through():
+def test_bucket_admits_its_rate():
     rate = grants.TeamRate("t", "a")
     assert rate.take(0.0) > 0
     rate.granted(grants.Grant("t", "a", 1, 1, 10.0, 100.0), 0.0)
--- a/packages/decisions/tests/requests/test_priority_weights.py
+++ b/packages/decisions/tests/requests/test_priority_weights.py
@@ -10,13 +10,11 @@
     ("priority", "highest", "weight"),
     [(0, 0, 1.0), (1, 0, 0.5), (2, 0, 0.25), (9, 0, 0.25), (3, 5, 1.0)],
 )
-def test_a_rank_below_weighs_half_and_a_quarter_at_least(
-    priority, highest, weight
-):
+def test_weight_halves_per_rank_down_to_a_quarter(priority, highest, weight):
     assert priority_weights.weight(priority, highest) == weight
 
 
-def test_the_highest_priority_is_a_route_s_or_an_organisation_s():
+def test_highest_priority_of_routes_and_organisations():
     route = facts.Route("r", "h", "/", (), priority=3)
     organisations = (
         facts.Organisation("a", ()),
--- a/packages/decisions/tests/requests/test_quarantine.py
+++ b/packages/decisions/tests/requests/test_quarantine.py
@@ -16,32 +16,32 @@
 BAD, SOUND = "bad", "sound"
 
 
-def _end(quarantine, replica_id, now, fingerprints=(BAD,)):
+def _crash_replica(quarantine, replica_id, now, fingerprints=(BAD,)):
     for fingerprint in fingerprints:
-        quarantine.cut(fingerprint, replica_id, now)
+        quarantine.record_cut(fingerprint, replica_id, now)
     return quarantine.record_crash(replica_id, now)
 
 
-def test_one_end_holds_nothing_back():
+def test_one_crash_holds_nothing_back():
     quarantine = quarantines.Quarantine()
 
-    assert _end(quarantine, "r1", 0.0) == {BAD}
+    assert _crash_replica(quarantine, "r1", 0.0) == {BAD}
     assert quarantine.crash_count(BAD) == 1
     assert quarantine.wait_s(BAD, 0.0) == 0
 
 
 @pytest.mark.parametrize(
-    ("ends", "pause_s"),
+    ("crashes", "pause_s"),
     [
         (2, quarantines.SHORT_PAUSE_S),
         (3, quarantines.LONG_PAUSE_S),
         (5, quarantines.LONG_PAUSE_S),
     ],
 )
-def test_a_request_waits_longer_the_more_replicas_ended(ends, pause_s):
+def test_pause_grows_with_the_number_of_crashes(crashes, pause_s):
     quarantine = quarantines.Quarantine()
-    for number in range(ends):
-        _end(quarantine, f"r{number}", 0.0)
+    for number in range(crashes):
+        _crash_replica(quarantine, f"r{number}", 0.0)
 
     assert quarantine.wait_s(BAD, 1.0) == pause_s - 1.0
     assert quarantine.wait_s(BAD, pause_s) == 0
@@ -51,71 +51,73 @@
 def test_the_same_replica_counts_once():
     quarantine = quarantines.Quarantine()
     for now in (0.0, 0.1, 0.2):
-        _end(quarantine, "r1", now)
-    quarantine.learn(BAD, ["r1"], 0.3)
+        _crash_replica(quarantine, "r1", now)
+    quarantine.add_crashes(BAD, ["r1"], 0.3)
 
     assert quarantine.crash_count(BAD) == 1
 
 
-def test_what_is_passed_on_ends_no_later_than_what_was_seen():
+def test_shared_crashes_keep_the_end_of_the_pause():
     first, second = quarantines.Quarantine(), quarantines.Quarantine()
     for number in range(quarantines.SUSPECT_CRASHES):
-        _end(first, f"r{number}", 0.0)
-    for one in first.known(2.0):
-        second.learn(one.fingerprint, one.replica_ids, 2.0 - one.age_s)
+        _crash_replica(first, f"r{number}", 0.0)
+    for one in first.known_crashes(2.0):
+        second.add_crashes(one.fingerprint, one.replica_ids, 2.0 - one.age_s)
 
     assert second.wait_s(BAD, 2.0) == first.wait_s(BAD, 2.0) > 0
-    assert first.known(quarantines.LONG_PAUSE_S) == []
+    assert first.known_crashes(quarantines.LONG_PAUSE_S) == []
 
 
-def test_a_cut_at_a_replica_that_goes_on_does_not_count():
+def test_cut_without_a_crash_does_not_count():
     quarantine = quarantines.Quarantine()
     for number in range(9):
-        quarantine.cut(BAD, f"r{number}", 0.0)
+        quarantine.record_cut(BAD, f"r{number}", 0.0)
 
     assert quarantine.crash_count(BAD) == 0
-    late = quarantines.CUT_MEMORY_S + 0.1
+    late = quarantines.CUT_TTL_S + 0.1
     assert quarantine.record_crash("r1", late) == set()
 
 
-def test_work_that_loses_by_a_short_pause_waits_only_once_it_is_proven():
+def test_min_crashes_skips_the_short_pause():
     quarantine = quarantines.Quarantine()
     proven = quarantines.PROVEN_CRASHES
     for number in range(proven):
         assert quarantine.wait_s(BAD, 0.0, proven) == 0
-        _end(quarantine, f"r{number}", 0.0)
+        _crash_replica(quarantine, f"r{number}", 0.0)
 
     assert quarantine.wait_s(BAD, 0.0, proven) == quarantines.LONG_PAUSE_S
 
 
-def test_a_cut_that_shows_after_the_end_counts():
+def test_cut_reported_after_the_crash_counts():
     quarantine = quarantines.Quarantine()
-    _end(quarantine, "r1", 0.0, fingerprints=())
+    _crash_replica(quarantine, "r1", 0.0, fingerprints=())
 
-    assert quarantine.cut(BAD, "r1", 0.2)
+    assert quarantine.record_cut(BAD, "r1", 0.2)
     assert quarantine.crash_count(BAD) == 1
 
 
-def test_a_request_that_is_answered_ends_no_replica():
+def test_answered_request_is_cleared():
     quarantine = quarantines.Quarantine()
     for replica_id in ("r1", "r2"):
-        _end(quarantine, replica_id, 0.0, (BAD, SOUND))
-    quarantine.answered(SOUND)
+        _crash_replica(quarantine, replica_id, 0.0, (BAD, SOUND))
+    quarantine.clear(SOUND)
 
     assert quarantine.crash_count(SOUND) == 0
     assert quarantine.crash_count(BAD) == 2
 
 
-def test_nothing_is_kept_for_ever():
+def test_records_expire():
     quarantine = quarantines.Quarantine()
     for number in range(1000):
-        _end(quarantine, f"r{number}", float(number), (f"f{number}",))
-    _end(quarantine, "last", 2 * quarantines.LONG_PAUSE_S + 1000.0)
+        _crash_replica(
+            quarantine, f"r{number}", float(number), (f"f{number}",)
+        )
+    _crash_replica(quarantine, "last", 2 * quarantines.LONG_PAUSE_S + 1000.0)
 
     assert (
         quarantine.held_back_count(2 * quarantines.LONG_PAUSE_S + 1001.0) == 0
     )
-    assert not quarantine.watched
+    assert not quarantine.cut_replica_ids
     quarantine.record_crash("r", 9999.0)
     assert quarantine.is_empty
 
@@ -123,7 +125,7 @@
 @hypothesis.given(
     seed=strategies.integers(0, 1 << 16), entries=strategies.integers(1, 9)
 )
-def test_a_bad_request_ends_few_replicas_and_bystanders_are_served(
+def test_bad_request_crashes_few_replicas_and_bystanders_are_served(
     seed, entries
 ):
     """Play a service of three replicas that are back after 3 s.
@@ -132,30 +134,30 @@
     comes three times a second, sound ones five times; each is tried at two
     replicas and by whatever entry. Each end cuts another bystander.
     """
-    play = _Play(random.Random(seed), entries)
+    simulation = _Simulation(random.Random(seed), entries)
     for step in range(400):
-        play.step(step * 0.125)
+        simulation.step(step * 0.125)
 
-    assert play.ends <= 6
-    assert play.refused_sound == 0
+    assert simulation.crashes <= 6
+    assert simulation.refused_sound == 0
 
 
-class _Play:
+class _Simulation:
     """A service and its entries in steps of time."""
 
     def __init__(self, rng, entries):
         self.rng = rng
         self.quarantines = [quarantines.Quarantine() for _ in range(entries)]
         self.back_at_by_replica = dict.fromkeys("abc", 0.0)
-        self.ends = 0
+        self.crashes = 0
         self.refused_sound = 0
-        self.untold = []
+        self.unshared = []
 
     def step(self, now):
-        for item in [one for one in self.untold if one[0] <= now]:
-            self.untold.remove(item)
+        for item in [one for one in self.unshared if one[0] <= now]:
+            self.unshared.remove(item)
             for quarantine in self.quarantines:
-                quarantine.learn(item[1], [item[2]], now)
+                quarantine.add_crashes(item[1], [item[2]], now)
         if self.rng.random() < 0.4:
             self._ask(BAD, now)
         if self.rng.random() < 0.6:
@@ -173,22 +175,22 @@
             self._crash(quarantine, self.rng.choice(up), now)
 
     def _crash(self, quarantine, name, now):
-        self.ends += 1
+        self.crashes += 1
         self.back_at_by_replica[name] = now + 3.0
-        replica_id = f"{name}-{self.ends}"
-        bystander = f"sound-{now}-{self.ends}"
-        _end(quarantine, replica_id, now, (BAD, bystander))
+        replica_id = f"{name}-{self.crashes}"
+        bystander = f"sound-{now}-{self.crashes}"
+        _crash_replica(quarantine, replica_id, now, (BAD, bystander))
         for fingerprint in (BAD, bystander):
-            self.untold.append((now + 0.3, fingerprint, replica_id))
+            self.unshared.append((now + 0.3, fingerprint, replica_id))
 
 
 def test_a_suspect_needs_a_trial_once_its_pause_is_over():
     quarantine = quarantines.Quarantine()
-    quarantine.learn(BAD, ["r1"], 0.0)
+    quarantine.add_crashes(BAD, ["r1"], 0.0)
     assert not quarantine.needs_trial(BAD, 0.0)
-    quarantine.learn(BAD, ["r2"], 0.0)
+    quarantine.add_crashes(BAD, ["r2"], 0.0)
 
     assert not quarantine.needs_trial(BAD, quarantines.SHORT_PAUSE_S - 0.1)
     assert quarantine.needs_trial(BAD, quarantines.SHORT_PAUSE_S)
-    quarantine.answered(BAD)
+    quarantine.clear(BAD)
     assert not quarantine.needs_trial(BAD, quarantines.SHORT_PAUSE_S)
--- a/packages/decisions/tests/requests/test_retries.py
+++ b/packages/decisions/tests/requests/test_retries.py
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(
     "row", table.TABLE, ids=lambda row: f"{row.hop}-{row.event}"
 )
-def test_no_row_ever_repeats_what_may_have_run_once_only(row):
+def test_non_idempotent_request_is_retried_only_if_not_run(row):
     failure = _failure(
         row.verdict, False, reason=row.reason or reasons.Refusal.INTERNAL
     )
@@ -71,7 +71,7 @@
             assert row.verdict is MAY
 
 
-def test_nothing_after_the_backend_has_a_byte_is_not_run():
+def test_no_event_after_sending_to_the_backend_is_not_run():
     sent = {
         table.Event.IDLE_CONNECTION_CLOSED,
         table.Event.LOST_PARTLY_SENT,
@@ -127,7 +127,7 @@
         {"reason": reasons.Refusal.RATE_LIMITED},
     ],
 )
-def test_what_cannot_help_is_given_up_and_costs_no_budget(fields):
+def test_useless_retries_are_not_made_and_cost_no_budget(fields):
     service_retries = _retries(share=0.0, burst=1)
     assert service_retries.decide(_failure(**fields)) is retries.GIVE_UP
     assert service_retries.decide(_failure()).action is retries.Action.RETRY
--- a/packages/decisions/tests/requests/test_retry_after.py
+++ b/packages/decisions/tests/requests/test_retry_after.py
@@ -4,33 +4,35 @@
 service that does 480 a second and holds 90.
 """
 
-import overload_world as worlds
+import overload_simulation as simulations
 import pytest
 
 from anvilwell_decisions.requests import retry_after
 
-PULSE = "pulse"
+BURST = "pulse"
 
 
 def _answered(make_schedule, entries, calls):
     """Return the part of a pulse of calls that is answered."""
-    load = worlds.Load({}, entries=entries, seconds=4.0)
-    others = {"others": 0.4 * load.capacity}
-    world = worlds.World(
+    load = simulations.Workload({}, entries=entries, seconds=4.0)
+    others = {"others": 0.4 * load.capacity_per_s}
+    simulation = simulations.Simulation(
         load._replace(rates_by_organisation=others),
-        worlds.NoShares,
+        simulations.UnlimitedShares,
         make_schedule=make_schedule,
     )
-    world.asked[PULSE] = calls
+    simulation.sent[BURST] = calls
     for number in range(calls):
-        world._later(1.0 + 0.0001 * number, world._arrive, PULSE, 0)
-    return world.play().answered[PULSE] / calls
+        simulation._schedule_in(
+            1.0 + 0.0001 * number, simulation._begin_call, BURST, 0
+        )
+    return simulation.run().answered[BURST] / calls
 
 
 @pytest.mark.parametrize("entries", [1, 3, 20])
 @pytest.mark.parametrize("calls", [300, 600])
-def test_more_of_a_pulse_is_answered_in_turns(entries, calls):
-    constant = _answered(worlds.ConstantRetryAfter, entries, calls)
+def test_spread_returns_answer_more_of_a_burst(entries, calls):
+    constant = _answered(simulations.ConstantRetryAfter, entries, calls)
 
     assert _answered(retry_after.RetrySchedule, entries, calls) > constant
 
@@ -46,14 +48,14 @@
     assert max(waits_s) <= retry_after.MAX_WAIT_S
 
 
-def test_a_wait_is_one_that_the_caller_honours():
+def test_wait_is_limited_by_the_time_left():
     schedule = retry_after.RetrySchedule()
     waits_s = [schedule.wait_s(0.0, 0.9) for _ in range(5)]
 
     assert max(waits_s) <= retry_after.MAX_SHARE_OF_TIME_LEFT * 0.9
 
 
-def test_a_lone_refusal_waits_as_long_as_ever():
+def test_single_refusal_gets_the_minimum_wait():
     schedule = retry_after.RetrySchedule()
     schedule.wait_s(0.0, 60.0)
 
--- a/packages/decisions/tests/requests/test_routing.py
+++ b/packages/decisions/tests/requests/test_routing.py
@@ -77,10 +77,10 @@
         assert policy.choose(_request(version="8", prefix="p"), 1.0) is None
         assert policy.choose(_request(version="9", prefix="p"), 1.0) == "r0"
 
-    def test_without_replicas_there_is_none(self, kind):
+    def test_without_replicas_nothing_is_chosen(self, kind):
         assert _policy(kind, 0).choose(_request(prefix="p"), 0.0) is None
 
-    def test_random_churn_keeps_the_policy_whole(self, kind):
+    def test_random_churn_keeps_the_policy_consistent(self, kind):
         rng = random.Random(5)
         policy = _policy(kind, 0)
         up = set()
--- a/packages/decisions/tests/requests/test_subsets.py
+++ b/packages/decisions/tests/requests/test_subsets.py
@@ -31,11 +31,11 @@
     assert max(n for d, n in domains.items() if d != "d0") == 2
 
 
-def test_a_small_service_is_taken_whole():
+def test_small_service_is_used_whole():
     assert len(_subset(replicas=6).replicas_by_id) == 6
 
 
-def test_changes_tell_what_came_and_left():
+def test_changes_list_added_and_removed_replicas():
     subset = _subset(size=8)
     seen = set()
     rng = random.Random(2)
@@ -52,7 +52,7 @@
         assert len(seen) <= 8
 
 
-def test_one_replica_less_changes_little():
+def test_removing_a_replica_replaces_only_that_one():
     subset = _subset(replicas=520, size=48)
     gone = sorted(subset.replicas_by_id)[:10]
     for replica_id in gone:
--- a/packages/decisions/tests/requests/test_verdicts.py
+++ b/packages/decisions/tests/requests/test_verdicts.py
@@ -7,7 +7,7 @@
 PAGE = pathlib.Path(__file__).parents[4] / "docs/design/requests.md"
 
 
-def test_the_page_has_every_row_and_no_other():
+def test_page_lists_exactly_the_rows_of_the_table():
     rows = [
         f"| {row.hop} | {row.event} | `{row.verdict}` |"
         f" {row.reason or '-'} | {row.why} |"
--- a/packages/gateway/anvilwell_gateway/crash_tracker.py
+++ b/packages/gateway/anvilwell_gateway/crash_tracker.py
@@ -135,7 +135,7 @@
 
     def answered(self, fingerprint):
         """Note that a replica answered a request whole."""
-        self._quarantine.answered(fingerprint)
+        self._quarantine.clear(fingerprint)
 
     async def note_cut(self, fingerprint, replica):
         """Note that `replica` cut an answer; find out whether it ended.
@@ -145,7 +145,7 @@
         """
         replica_id = replica.replica_id
         now = self._loop.time()
-        if self._quarantine.cut(fingerprint, replica_id, now):
+        if self._quarantine.record_cut(fingerprint, replica_id, now):
             self._report_crash(replica_id, {fingerprint})
         elif not self._directory.lives(replica_id):
             self._record_crash(replica_id)
@@ -190,7 +190,7 @@
             await responder.send(200, (), cbor2.dumps(wait_s))
             return
         if request.path == catching_up.TARGET:
-            known = self._quarantine.known(self._loop.time())
+            known = self._quarantine.known_crashes(self._loop.time())
             most = known[: catching_up.MOST_KNOWN]
             await responder.send(200, (), cbor2.dumps(most))
             return
@@ -200,7 +200,7 @@
 
     def _learn_known(self, known):
         """Take in what another entry knew before this one started."""
-        self._quarantine.learn(
+        self._quarantine.add_crashes(
             known.fingerprint,
             known.replica_ids,
             self._loop.time() - known.age_s,
@@ -209,12 +209,12 @@
     def _learn(self, crash):
         now = self._loop.time()
         for fingerprint in crash.fingerprints:
-            self._quarantine.learn(fingerprint, [crash.replica_id], now)
+            self._quarantine.add_crashes(fingerprint, [crash.replica_id], now)
 
     def _replicas_changed(self, changed):
         if not changed.is_membership:
             return
-        watched = self._quarantine.watched
+        watched = self._quarantine.cut_replica_ids
         for replica_id in watched.intersection(changed.replica_ids):
             if not self._directory.lives(replica_id):
                 self._record_crash(replica_id)
--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -146,7 +146,7 @@
         """Return how long the `Question`'s request must wait, in seconds."""
         now = self._loop.time()
         fingerprint = question.fingerprint
-        self._quarantine.learn(fingerprint, question.replica_ids, now)
+        self._quarantine.add_crashes(fingerprint, question.replica_ids, now)
         if question.is_over:
             self._trials.end(fingerprint, question.trier)
             return 0.0
--- a/packages/gateway/tests/test_trials.py
+++ b/packages/gateway/tests/test_trials.py
@@ -56,7 +56,7 @@
                 vm_id: quarantines.Quarantine() for vm_id in ADDRESSES_BY_VM
             }
             for vm_id, quarantine in quarantine_by_vm.items():
-                quarantine.learn("f", ["r1", "r2"], 0.0)
+                quarantine.add_crashes("f", ["r1", "r2"], 0.0)
                 news = pool.news_by_vm[vm_id]
                 trials_by_vm[vm_id] = trials.Trials(vm_id, news, quarantine)
             await asyncio.sleep(PAUSE_S)
@@ -130,7 +130,7 @@
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
         async with trials_by_vm[OTHERS[0]].trial("f"):
             now = asyncio.get_running_loop().time()
-            quarantine_by_vm[OTHERS[0]].learn("f", ["r3"], now)
+            quarantine_by_vm[OTHERS[0]].add_crashes("f", ["r3"], now)
         await asyncio.sleep(0.01)
         async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s > PAUSE_S
