--- a/packages/decisions/anvilwell_decisions/requests/__init__.py
+++ b/packages/decisions/anvilwell_decisions/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on one request: where, when, again, and at most once."""
+"""Decisions about single requests: routing, admission, retries, claims."""
--- a/packages/decisions/anvilwell_decisions/requests/admission.py
+++ b/packages/decisions/anvilwell_decisions/requests/admission.py
@@ -1,4 +1,4 @@
-"""The agent's side: when a request may go to its backend server."""
+"""Admission control of an agent: which requests its backend server runs."""
 
 import collections
 import heapq
@@ -9,16 +9,18 @@
 from anvilwell_decisions.requests import limits
 from anvilwell_kernel import reasons
 
+# Weight of the newest request in the moving averages of latency.
 _SMOOTHING = 0.1
+# Bursts of live requests that the headroom absorbs, in standard deviations.
 _BURST_DEVIATIONS = 2.0
 _MIN_RETRY_AFTER_S = 0.1
 
 
 class Ticket(typing.NamedTuple):
-    """One request that asks for admission.
+    """A request that waits to be admitted.
 
-    ``deadline`` is monotonic time in seconds; ``work`` is the expected
-    work, such as tokens, or 0 if it is not known.
+    ``deadline`` is monotonic time in seconds. ``work`` is the expected amount
+    of work, such as tokens, or 0 if it is unknown.
     """
 
     ticket_id: str
@@ -28,20 +30,20 @@
 
 
 class Admit(typing.NamedTuple):
-    """The request goes to the backend server now."""
+    """The request is sent to the backend server now."""
 
     ticket_id: str
 
 
 class Queue(typing.NamedTuple):
-    """The request waits; ``position`` counts from 0 in its class."""
+    """The request waits; ``position`` in its class's queue starts at 0."""
 
     ticket_id: str
     position: int
 
 
 class Refuse(typing.NamedTuple):
-    """The request was not run; ``retry_after_s`` says when to return."""
+    """The request was not run; it may be retried in ``retry_after_s``."""
 
     ticket_id: str
     reason: reasons.Refusal
@@ -49,11 +51,12 @@
 
 
 class AdmissionSettings(typing.NamedTuple):
-    """Settings of admission.
+    """Settings of `Admission`.
 
-    ``live_reserve`` is the largest share of the limit that training
-    leaves free, beside what live itself has. ``max_queue`` bounds the
-    queue of each class.
+    ``max_queue`` is the maximum length of the queue of each priority class.
+    ``live_reserve`` is the largest share of the concurrency limit that
+    training requests leave free for live requests, in addition to what
+    running live requests use.
     """
 
     max_queue: int = 64
@@ -62,10 +65,10 @@
 
 
 class Admission:
-    """Admits live before training, within a learned limit.
+    """Admits live requests before training, within an adaptive limit.
 
-    Every method that frees room returns the actions that follow, in
-    order: `Admit` and `Refuse` for tickets that were queued.
+    Methods that free capacity return the resulting actions in order: `Admit`
+    or `Refuse` for each queued ticket that they concern.
     """
 
     def __init__(self, settings=None):
@@ -84,26 +87,30 @@
 
     @property
     def limit(self):
-        """The present concurrency limit."""
+        """The current concurrency limit."""
         return self._limit.limit
 
     @property
     def in_flight(self):
-        """Requests at the backend server."""
+        """The number of requests at the backend server."""
         return len(self._running_by_id)
 
     @property
     def queued(self):
-        """Requests that wait, of both classes."""
+        """The number of queued requests of both classes."""
         return sum(len(q) for q in self._queued_by_priority.values())
 
     @property
     def settings(self):
-        """The `AdmissionSettings` in force."""
+        """The current `AdmissionSettings`."""
         return self._settings
 
     def configure(self, settings):
-        """Take new settings; what is learned and what runs stays."""
+        """Replace the settings.
+
+        Running and queued requests, the learned limit and the latency
+        estimates are kept.
+        """
         self._settings = settings
 
     def offer(self, ticket, now):
@@ -127,18 +134,18 @@
         return Queue(ticket.ticket_id, len(queue) - 1)
 
     def finished(self, ticket_id, now, latency_s, work=0.0):
-        """Take the whole end of an admitted request; return actions.
+        """Record that an admitted request completed; return actions.
 
         Parameters
         ----------
         ticket_id : str
-            An admitted ticket; another is ignored.
+            An admitted ticket; others are ignored.
         now : float
             Monotonic time, in seconds.
         latency_s : float
-            From admission to the end, in seconds.
+            Time from admission to completion, in seconds.
         work : float
-            Work that was done, such as tokens; 0 if it is not known.
+            Amount of work done, such as tokens; 0 if it is unknown.
         """
         ticket = self._running_by_id.get(ticket_id)
         if ticket is None:
@@ -157,24 +164,34 @@
         return self._release(ticket, now)
 
     def failed(self, ticket_id, now):
-        """Take an end that teaches nothing of latency; return actions."""
+        """Record that an admitted request ended without a usable latency.
+
+        Returns the resulting actions.
+        """
         ticket = self._running_by_id.get(ticket_id)
         return [] if ticket is None else self._release(ticket, now)
 
     def record_server_load(self, running, waiting):
-        """Take the backend server's own late report of its load."""
+        """Record the load that the backend server reported, with some delay.
+
+        If requests wait inside the server, the concurrency limit is reduced to
+        the number that it runs.
+        """
         if waiting:
             self._limit.record_saturation(running)
 
     def cancel(self, ticket_id, now):
-        """Withdraw a ticket, queued or admitted; return actions."""
+        """Remove a queued or admitted ticket; return actions."""
         for queue in self._queued_by_priority.values():
             if queue.pop(ticket_id, None):
                 return self._admit_queued(now)
         return self.failed(ticket_id, now)
 
     def expire(self, now):
-        """Refuse what can no longer meet its deadline; return actions."""
+        """Refuse queued requests that can no longer meet their deadline.
+
+        Returns the resulting actions.
+        """
         refused = []
         while self._expiries and self._expiries[0][0] < now:
             _, ticket_id, priority = heapq.heappop(self._expiries)
@@ -184,7 +201,10 @@
         return [*refused, *self._admit_queued(now)] if refused else []
 
     def drain(self):
-        """Take no more; refuse all that waits, so that it goes elsewhere."""
+        """Refuse new requests from now on, and all queued ones.
+
+        Returns the refusals, so that the requests can be sent elsewhere.
+        """
         self._is_draining = True
         refused = [
             self._refusal(ticket, reasons.Refusal.DRAINING)
@@ -197,6 +217,7 @@
         return refused
 
     def _has_capacity(self, priority):
+        """Return whether a request of this class can be admitted now."""
         if self.in_flight >= self.limit:
             return False
         if priority is facts.Priority.LIVE:
@@ -206,10 +227,11 @@
         return self.in_flight < max(1, self.limit - self._live_headroom())
 
     def _live_headroom(self):
-        """Return how many places training leaves free for live.
+        """Return how many slots training leaves free for live requests.
 
-        Live that arrives at random varies by the root of its mean; a
-        few times that is enough, and never more than the reserve.
+        The number of live requests in flight, if they arrive at random, has a
+        standard deviation of the square root of its mean. The headroom is
+        `_BURST_DEVIATIONS` of these, and at most the live reserve.
         """
         live = max(1, self._live_running)
         reserved = self.limit * self._settings.live_reserve
@@ -226,7 +248,7 @@
         return self._admit_queued(now)
 
     def _admit_queued(self, now):
-        """Admit what there is room for, live first."""
+        """Admit queued requests while there is capacity, live ones first."""
         actions = []
         for priority in (facts.Priority.LIVE, facts.Priority.TRAINING):
             queue = self._queued_by_priority[priority]
@@ -244,18 +266,24 @@
         return now + wait_s + self._expected_s(ticket) <= ticket.deadline
 
     def _expected_s(self, ticket):
+        """Estimate how long a request runs, in seconds.
+
+        The estimate is per unit of work if the ticket's work is known, else
+        the mean of its priority class.
+        """
         if ticket.work and self._s_per_work_unit is not None:
             return ticket.work * self._s_per_work_unit
         return self._mean_service_s_by_priority.get(ticket.priority, 0.0)
 
     def _wait_s(self, priority):
-        """Estimate how long a new ticket of a class would wait."""
+        """Estimate how long a new request of a class would be queued."""
         if self._has_capacity(priority) and not self._queued_ahead(priority):
             return 0.0
         rounds = (self._queued_ahead(priority) + 1) / self.limit
         return rounds * (self._mean_service_s or 0.0)
 
     def _queued_ahead(self, priority):
+        """Return how many queued requests precede a new one of a class."""
         live = len(self._queued_by_priority[facts.Priority.LIVE])
         if priority is facts.Priority.LIVE:
             return live
--- a/packages/decisions/anvilwell_decisions/requests/byte_budget.py
+++ b/packages/decisions/anvilwell_decisions/requests/byte_budget.py
@@ -1,24 +1,25 @@
-"""Bytes that a VM may hold for others, and what is refused beyond."""
+"""Limits the bytes of request and response bodies that a VM buffers."""
 
-# Programs and what they know take the rest of a VM's memory.
+# Share of a VM's memory that buffers may use. The processes and their own
+# data need the rest.
 MEMORY_SHARE = 0.2
-# A page takes this part of what is left at most, so that another caller
-# who reads as slowly still gets one.
+# A page may use at most this share of the free bytes, so that pages remain
+# available to other callers that read slowly.
 PAGE_SHARE = 0.125
-# What is held where the VM's memory is not told.
+# Budget of a VM whose memory size is unknown.
 DEFAULT_BYTES = 32 << 20
 
 
 class ByteBudget:
-    """Counts what is held: bodies that came, answers that are not read.
+    """Counts buffered bytes: request bodies and unread responses.
 
-    A budget that is used up refuses what has not run; answers that are
-    there already are held all the same.
+    When the budget is used up, bodies of requests that have not run are
+    refused. Responses that have already been produced are still buffered.
 
     Parameters
     ----------
-    total : int
-        Bytes that may be held.
+    total_bytes : int
+        Maximum number of bytes to buffer.
     """
 
     def __init__(self, total_bytes=DEFAULT_BYTES):
@@ -27,31 +28,31 @@
 
     @classmethod
     def from_memory(cls, memory_mb):
-        """Return the budget of a VM with so much memory, 0 if unknown."""
+        """Return the budget of a VM with `memory_mb`; 0 means unknown."""
         if not memory_mb:
             return cls()
         return cls(int(MEMORY_SHARE * memory_mb * 1e6))
 
     @property
     def free_bytes(self):
-        """How many bytes more may be held."""
+        """How many more bytes may be buffered."""
         return max(0, self.total_bytes - self.held_bytes)
 
     def try_hold(self, byte_count):
-        """Hold `count` bytes if they fit; return whether they do."""
+        """Reserve `byte_count` bytes if they fit; return whether they do."""
         if byte_count > self.free_bytes:
             return False
         self.held_bytes += byte_count
         return True
 
     def hold(self, byte_count):
-        """Hold `count` bytes of an answer that is there already."""
+        """Count `byte_count` bytes of a response, even over the budget."""
         self.held_bytes += byte_count
 
     def release(self, byte_count):
-        """Hold `count` bytes no more."""
+        """Give `byte_count` bytes back to the budget."""
         self.held_bytes -= byte_count
 
     def page_bytes(self, max_bytes):
-        """Return how many bytes a page may have that could have `most`."""
+        """Return the size limit of a page of up to `max_bytes`."""
         return min(max_bytes, int(PAGE_SHARE * self.free_bytes))
--- a/packages/decisions/anvilwell_decisions/requests/claims.py
+++ b/packages/decisions/anvilwell_decisions/requests/claims.py
@@ -1,10 +1,10 @@
-"""At most one execution for each idempotency key.
+"""Executes each idempotency key at most once.
 
-Before an entry forwards a non-idempotent request it records a claim in
-the key-value service, by a swap that lands only if there is no record.
-Claims are never taken over, so the one request with the recorded claim
-id is the only one that is ever forwarded. Swaps wait for one another
-and go out together in one write.
+Before an entry forwards a non-idempotent request, it records a claim in the
+key-value service with a conditional write that succeeds only if the key has
+no record yet. A claim is never taken over: only the request whose claim id
+is recorded is ever forwarded. An entry has one write in progress at a time;
+swaps that accumulate meanwhile are sent together in the next one.
 """
 
 import itertools
@@ -15,14 +15,16 @@
 from anvilwell_kernel import verdict as verdicts
 
 MAX_SWAPS_PER_WRITE = 100
+# Void claims that are remembered, so that they are deleted if their write
+# is applied late. The oldest are dropped.
 _MAX_VOID_CLAIMS = 10000
 
 
 class ClaimRequest(typing.NamedTuple):
-    """A request that asks to be the one that runs for its key.
+    """A request to claim an idempotency key.
 
-    ``forward_by`` is monotonic time in seconds, after which it must not
-    be forwarded.
+    ``forward_by`` is monotonic time in seconds, after which the request must
+    not be forwarded.
     """
 
     claim_id: str
@@ -32,7 +34,11 @@
 
 
 class Swap(typing.NamedTuple):
-    """One conditional change; ``record`` None deletes, 0 is absent."""
+    """A conditional change of one key.
+
+    ``expected`` is the revision that the key must have, 0 if it must be
+    absent. A ``record`` of None deletes the key.
+    """
 
     key: str
     expected: int
@@ -40,27 +46,30 @@
 
 
 class Write(typing.NamedTuple):
-    """Write all `swaps` or none; the result goes to `Book.written`."""
+    """Write all `swaps` or none; pass the result to `ClaimTracker.written`."""
 
     write_id: int
     swaps: tuple
 
 
 class Forward(typing.NamedTuple):
-    """The request may be forwarded, now and by nobody else."""
+    """The request may be forwarded, once and by this entry only."""
 
     claim_id: str
 
 
 class Replay(typing.NamedTuple):
-    """The key ran before; its caller gets the recorded outcome."""
+    """The key was executed before; the caller gets the recorded outcome."""
 
     claim_id: str
     outcome: records.RecordedOutcome
 
 
 class Reject(typing.NamedTuple):
-    """The request is not forwarded; ``verdict`` is that of its key."""
+    """The request is not forwarded.
+
+    ``verdict`` says whether a request with this key has been executed.
+    """
 
     claim_id: str
     reason: reasons.Refusal
@@ -68,22 +77,28 @@
 
 
 class WriteApplied(typing.NamedTuple):
-    """All swaps of a write landed at `revision`."""
+    """All swaps of a write were applied, at `revision`."""
 
     revision: int
 
 
 class WriteConflict(typing.NamedTuple):
-    """None landed; what is kept for the keys, absent ones left out."""
+    """No swap was applied, as a key did not have the expected revision.
+
+    ``stored_by_key`` holds the stored records of the keys; absent keys are
+    missing.
+    """
 
     stored_by_key: dict
 
 
 class WriteUnknown(typing.NamedTuple):
-    """No answer: the write may have landed, or may land later."""
+    """There was no response: the write may or may not be applied."""
 
 
 class _Settlement(typing.NamedTuple):
+    """A change of a claimed key that is to be written."""
+
     key: str
     claim_id: str
     expected: int
@@ -91,17 +106,19 @@
 
 
 class _HeldClaim(typing.NamedTuple):
+    """A claim that is recorded in the store, with its revision."""
+
     request: ClaimRequest
     revision: int
 
 
 class ClaimTracker:
-    """The claims of one entry.
+    """Tracks the claims of one entry.
 
     Parameters
     ----------
     owner : str
-        Name of the entry and its incarnation.
+        The entry and its incarnation.
     """
 
     def __init__(self, owner):
@@ -119,20 +136,20 @@
 
     @property
     def is_settled(self):
-        """Whether nothing waits to be written."""
+        """Whether no write is in progress and no outcome left to record."""
         return not (self._writing or self._settling_by_key)
 
     def owner_alive(self, owner):
-        """Note that an entry runs in this incarnation."""
+        """Record that this incarnation of an entry is running."""
         self._alive_owners.add(owner)
 
     def owner_gone(self, owner):
-        """Note that an entry's incarnation has ended."""
+        """Record that this incarnation of an entry has ended."""
         if owner != self._owner:
             self._alive_owners.discard(owner)
 
     def claim(self, request, now):
-        """Take a `Question`; return actions."""
+        """Start claiming the key of a `ClaimRequest`; return actions."""
         if request.key in self._held_by_key:
             held = self._held_by_key[request.key]
             return [self._reject_duplicate(request, held.request.digest)]
@@ -145,7 +162,8 @@
     def settle(self, claim_id, verdict, outcome, now):
         """Record how a forwarded request ended; return actions.
 
-        ``NOT_RUN`` frees the key, so that the caller may repeat it.
+        The verdict ``NOT_RUN`` deletes the claim, so that the caller may
+        repeat the request.
         """
         held = self._held_by_id.pop(claim_id, None)
         if held is None:
@@ -161,7 +179,10 @@
         return self.flush(now)
 
     def flush(self, now):
-        """Return the next `Write`, unless one is under way."""
+        """Return the next `Write`, unless one is in progress.
+
+        Requests that have expired are rejected first.
+        """
         if self._writing:
             return []
         rejected = self.expire(now)
@@ -175,7 +196,7 @@
         return [*rejected, self._writing]
 
     def expire(self, now):
-        """Give up claims that came too late to be forwarded."""
+        """Reject pending requests that are too late to be forwarded."""
         late = [
             request
             for request in self._pending_by_key.values()
@@ -193,7 +214,10 @@
         ]
 
     def written(self, write_id, result, now):
-        """Take `Landed`, `Clashed` or `Lost` for a write."""
+        """Process the result of a write; return actions.
+
+        `result` is a `WriteApplied`, `WriteConflict` or `WriteUnknown`.
+        """
         if self._writing is None or self._writing.write_id != write_id:
             return []
         swaps = self._writing.swaps
@@ -210,6 +234,7 @@
         return [*actions, *self.flush(now)]
 
     def _swaps(self):
+        """Yield the outstanding swaps: settlements first, new claims last."""
         for settlement in self._settling_by_key.values():
             yield Swap(settlement.key, settlement.expected, settlement.record)
         for request in self._uncertain_by_key.values():
@@ -226,7 +251,7 @@
         return records.Record(request.claim_id, self._owner, request.digest)
 
     def _resolve(self, key, stored, now):
-        """Apply what is now kept for one key of the last write."""
+        """Process the record that is now stored for a key of a write."""
         settlement = self._settling_by_key.get(key)
         if settlement:
             self._resolve_settlement(settlement, stored)
@@ -254,7 +279,7 @@
         return [self._reject_or_replay(request, record)]
 
     def _hold_claim(self, request, revision, now):
-        """Hold a claim that is certainly recorded."""
+        """Forward the request of a recorded claim, if it is not too late."""
         held = _HeldClaim(request, revision)
         self._held_by_id[request.claim_id] = held
         self._held_by_key[request.key] = held
@@ -271,7 +296,7 @@
         return [reject, *settled]
 
     def _reject_or_replay(self, request, record):
-        """Answer a question whose key another request has claimed."""
+        """Answer a request whose key another request has claimed."""
         self._maybe_written_ids.discard(request.claim_id)
         if record.digest != request.digest:
             return Reject(
@@ -288,6 +313,7 @@
         )
 
     def _reject_duplicate(self, request, digest):
+        """Reject a request whose key this entry is claiming or running."""
         if digest != request.digest:
             return Reject(
                 request.claim_id,
@@ -301,10 +327,10 @@
         )
 
     def _abandon(self, request):
-        """Give up a claim, and free its key should it have landed.
+        """Stop claiming a key, and delete the claim if it was written.
 
-        A claim that was written, perhaps, is written again until the
-        store says that it is there, so that it can be deleted.
+        If the claim was sent to the store, the write is repeated until the
+        store confirms the record, so that it can be deleted.
         """
         del self._pending_by_key[request.key]
         if request.claim_id in self._maybe_written_ids:
@@ -313,7 +339,7 @@
             self._mark_void(request)
 
     def _mark_void(self, request):
-        """Remember that a claim is void, also if it lands late."""
+        """Remember that a claim must not count, even if it is written late."""
         self._void_keys_by_claim_id[request.claim_id] = request.key
         while len(self._void_keys_by_claim_id) > _MAX_VOID_CLAIMS:
             del self._void_keys_by_claim_id[
@@ -321,7 +347,7 @@
             ]
 
     def _delete_if_void(self, key, stored):
-        """Delete a record that is void; return whether it is."""
+        """Schedule deletion of a void record; return whether it is void."""
         record = stored.record
         if (
             record is None
@@ -334,14 +360,18 @@
         return True
 
     def _drop_deleted(self, swaps, stored_by_key):
-        """Drop settlements whose records are no longer there."""
+        """Drop settlements of keys that no longer have a record."""
         for swap in swaps:
             if swap.expected and swap.key not in stored_by_key:
                 self._settling_by_key.pop(swap.key, None)
 
 
 def progress_reason(record, alive_owners):
-    """Return why a claimed key has no outcome yet."""
+    """Return the refusal reason for a claimed key without an outcome.
+
+    While the owner of the claim is running, the request is in progress; else
+    its outcome is unknown.
+    """
     is_open = record.state is records.State.CLAIMED
     if is_open and record.owner in alive_owners:
         return reasons.Refusal.KEY_IN_PROGRESS
@@ -349,6 +379,7 @@
 
 
 def _settled_record(record, verdict, outcome):
+    """Return the record to store for a verdict, None to delete it."""
     if verdict is verdicts.Verdict.NOT_RUN:
         return None
     if verdict is verdicts.Verdict.RAN and outcome is not None:
--- a/packages/decisions/anvilwell_decisions/requests/ejection.py
+++ b/packages/decisions/anvilwell_decisions/requests/ejection.py
@@ -1,4 +1,4 @@
-"""Takes replicas that fail out of routing for a while."""
+"""Temporarily removes failing replicas from routing (outlier ejection)."""
 
 import heapq
 import typing
@@ -8,11 +8,11 @@
 
 
 class EjectionSettings(typing.NamedTuple):
-    """Settings of ejection.
+    """Settings of `OutlierEjection`.
 
-    A replica is out after ``failures`` failures in a row, for
-    ``base_s`` seconds, twice as long each time up to ``longest_s``.
-    At most ``most_share`` of the replicas are out at a time.
+    A replica is ejected after ``failures`` consecutive failures, for
+    ``base_s`` seconds; the time doubles with each repeated ejection, up to
+    ``max_s``. At most ``max_share`` of the replicas are ejected at a time.
     """
 
     failures: int = 3
@@ -22,11 +22,10 @@
 
 
 class OutlierEjection(routing.Policy):
-    """Wraps a policy and hides replicas that fail from it.
+    """Hides failing replicas from the policy that it wraps.
 
-    It can't empty the set: no more than a share of the replicas is out,
-    and a request that only replicas that are out can take is given to
-    one of them.
+    Some replicas always remain: only a limited share is ejected at a time,
+    and a request that only ejected replicas can serve goes to one of them.
     """
 
     def __init__(self, rng, inner, settings=None):
@@ -40,11 +39,11 @@
 
     @property
     def ejected(self):
-        """Ids of the replicas that are out now."""
+        """Ids of the replicas that are ejected now, sorted."""
         return sorted(self._ejected_pool.facts_by_id)
 
     def replica_up(self, facts, now):
-        """Take in a replica; one that is out stays out."""
+        """Add or update a replica; an ejected one stays ejected."""
         super().replica_up(facts, now)
         if facts.replica_id in self._ejected_pool.facts_by_id:
             self._ejected_pool.add_replica(facts)
@@ -52,7 +51,7 @@
             self._inner.replica_up(facts, now)
 
     def replica_down(self, replica_id, now):
-        """Forget a replica and its failures."""
+        """Remove a replica and its failure counts."""
         super().replica_down(replica_id, now)
         self._ejected_pool.remove_replica(replica_id)
         self._failures_by_id.pop(replica_id, None)
@@ -60,15 +59,15 @@
         self._inner.replica_down(replica_id, now)
 
     def report(self, report, now):
-        """Pass a report on."""
+        """Pass a load report to the wrapped policy."""
         self._inner.report(report, now)
 
     def started(self, replica_id, now):
-        """Pass the start of an attempt on."""
+        """Pass the start of an attempt to the wrapped policy."""
         self._inner.started(replica_id, now)
 
     def ended(self, ended, now):
-        """Count failures in a row; eject on too many."""
+        """Count consecutive failures; eject the replica at the limit."""
         self._inner.ended(ended, now)
         replica_id = ended.replica_id
         if not ended.failed:
@@ -81,7 +80,7 @@
             self._eject(replica_id, now)
 
     def choose(self, request, now):
-        """Choose among those that are in, else among those out."""
+        """Choose an active replica, or an ejected one if there is none."""
         self._readmit_due(now)
         chosen = self._inner.choose(request, now)
         if chosen is not None:
@@ -117,6 +116,6 @@
             _, replica_id = heapq.heappop(self._readmissions)
             facts = self._ejected_pool.remove_replica(replica_id)
             if facts is not None:
-                # One more failure is enough to eject it again.
+                # A single further failure ejects the replica again.
                 self._failures_by_id[replica_id] = self._settings.failures - 1
                 self._inner.replica_up(facts, now)
--- a/packages/decisions/anvilwell_decisions/requests/expected_latency.py
+++ b/packages/decisions/anvilwell_decisions/requests/expected_latency.py
@@ -1,31 +1,33 @@
-"""The replica at which a live call is expected to end first."""
+"""Routes each live call to the replica with the least expected latency."""
 
 from anvilwell_decisions.requests import routing
 from anvilwell_decisions.requests import server_loads
 from anvilwell_decisions.requests import service_times
 
-# How many replicas are compared for one call. Entries that all look at all
-# replicas go to the same one until its next answer tells them.
+# How many replicas are compared for one call. If every entry compared all
+# replicas, all would choose the same one until its next response reports
+# the higher load.
 CANDIDATES = 16
-# Some replicas slow down as they fill: a call beside a full replica's
-# others is taken to need this much longer than one alone.
+# Some replicas slow down as their slots fill: a call at a full replica is
+# expected to take longer than a call alone by this share.
 CONCURRENCY_PENALTY = 0.25
 
 
 class LeastExpectedLatency(routing.LeastOutstanding):
-    """Takes the least expected time among some replicas drawn at random.
+    """Chooses the least expected latency among replicas drawn at random.
 
-    It follows from the pace of the replica, from how contended its
-    machine is, and from what runs and waits there: as the newest answer
-    told, with the calls that this entry has sent since. Until a replica
-    tells how contended it is, the least load of all decides.
+    The expected latency is the replica's uncontended service time, multiplied
+    by the contention of its machine and by a factor for the requests that run
+    and wait there. The load comes from the newest response, plus the calls
+    that this entry has sent since. Until any replica has reported contention,
+    the policy chooses the least loaded replica.
 
     Parameters
     ----------
     rng : random.Random
         Source of the draws.
-    drawn : int
-        How many replicas are compared.
+    candidates : int
+        How many replicas to compare for one call.
     """
 
     def __init__(self, rng, candidates=CANDIDATES):
@@ -37,21 +39,24 @@
         self._is_contention_reported = False
 
     def replica_down(self, replica_id, now):
-        """Forget a replica; one that returns is another life of it."""
+        """Remove a replica and what was learned about it.
+
+        A replica that returns is a new incarnation and starts afresh.
+        """
         super().replica_down(replica_id, now)
         self._service_times.forget(replica_id)
         self._server_loads.forget(replica_id)
         self._queued_at_by_id.pop(replica_id, None)
 
     def report(self, report, now):
-        """Take in what a replica's answer told of its load."""
+        """Record the load that a replica reported with a response."""
         replica_id = report.replica_id
         is_known = replica_id in self._pool.facts_by_id
         if report.contention is None or not is_known:
             super().report(report, now)
             return
         self._is_contention_reported = True
-        # The answer's own request is under way until it has ended.
+        # The request of this response counts as in flight until it ends.
         own = max(report.own, self._loads.own(replica_id))
         super().report(report._replace(own=own), now)
         if report.in_flight > report.limit:
@@ -62,9 +67,10 @@
         self._server_loads.record(replica_id, load, now)
 
     def ended(self, ended, now):
-        """Count the end of an attempt, and learn from a whole answer.
+        """Record the end of an attempt and learn from a complete response.
 
-        Where requests wait, an answer's time says little of its replica.
+        Latencies are ignored while requests wait at the replica, as they then
+        include queueing time.
         """
         replica_id = ended.replica_id
         is_usable = ended.is_answer and not ended.failed
@@ -81,7 +87,7 @@
         return since - queued_at < server_loads.COUNTS_TTL_S
 
     def choose(self, request, now):
-        """Return the replica that may take `request` soonest, or None."""
+        """Return the replica expected to answer `request` first, or None."""
         if not self._is_contention_reported:
             return super().choose(request, now)
         return min(
@@ -94,7 +100,7 @@
         )
 
     def _candidates(self, request):
-        """Return the replicas that may take `request`, or some of many."""
+        """Return all eligible replicas, or a random sample if many."""
         eligible = self._pool.eligible(request)
         if len(eligible) <= self._candidate_count:
             return [
@@ -108,7 +114,7 @@
         return candidates - {None}
 
     def expected_s(self, replica_id, now):
-        """Return the seconds that one more call would take at a replica."""
+        """Return the expected latency of one more call, in seconds."""
         return (
             self._service_times.expected_s(replica_id, now)
             * self._server_loads.contention(replica_id, now)
@@ -116,7 +122,12 @@
         )
 
     def _load_factor(self, replica_id, now):
-        """Return how many times one call's time one more call takes."""
+        """Return the factor by which load lengthens one more call.
+
+        A call beside others takes up to `CONCURRENCY_PENALTY` longer. Calls
+        that exceed the slots wait for whole or partial rounds of the calls
+        before them.
+        """
         in_flight = self._loads.estimate(replica_id)
         slots = self._server_loads.slots(replica_id) or 1
         extra_rounds = max(0, in_flight + 1 - slots) / slots
--- a/packages/decisions/anvilwell_decisions/requests/facts.py
+++ b/packages/decisions/anvilwell_decisions/requests/facts.py
@@ -1,22 +1,22 @@
-"""What the decisions on requests are told."""
+"""Inputs of the decisions on requests."""
 
 import enum
 import typing
 
 
 class Priority(enum.StrEnum):
-    """The class of a request; live goes before training."""
+    """The priority class of a request; live requests precede training."""
 
     LIVE = "live"
     TRAINING = "training"
 
 
 class RequestFacts(typing.NamedTuple):
-    """What routing needs to know of one request.
+    """The properties of a request that matter for routing.
 
-    ``version`` and ``adapter`` are constraints, "" for any. ``prefix``
-    identifies the prompt's prefix, "" if it has none. ``excluded``
-    holds replicas that this request has already failed on.
+    ``version`` and ``adapter`` are constraints; "" allows any. ``prefix``
+    identifies the prefix of the prompt, "" if there is none. ``excluded``
+    holds the replicas on which this request has already failed.
     """
 
     request_id: str
@@ -30,7 +30,7 @@
 
 
 class ReplicaFacts(typing.NamedTuple):
-    """What is known of one replica: its place and what it has loaded."""
+    """The location of a replica and what it has loaded."""
 
     replica_id: str
     failure_domain: str = ""
@@ -39,12 +39,12 @@
 
 
 class LoadReport(typing.NamedTuple):
-    """A replica's load as its agent saw it, some time ago.
+    """The load of a replica at an earlier moment.
 
-    ``own`` is how many of ``in_flight`` (running and queued) belong to
-    the entry that the report is for. ``limit`` is how many run at once.
-    ``contention`` is how long work takes at that moment, as a multiple of
-    the usual time; None if that is not told.
+    ``in_flight`` counts running and queued requests; ``own`` of them were
+    sent by the entry that gets the report. ``limit`` is how many can run at
+    once. ``contention`` is how long work takes at that moment, as a multiple
+    of the usual time; None if the replica does not report it.
     """
 
     replica_id: str
@@ -55,9 +55,9 @@
 
 
 class AttemptEnd(typing.NamedTuple):
-    """How one attempt ended; ``latency_s`` from its start.
+    """How one attempt ended; ``latency_s`` counts from its start.
 
-    ``is_answer`` tells that it is the time of a whole short answer.
+    ``is_answer`` is true if the latency is that of a complete, short response.
     """
 
     replica_id: str
--- a/packages/decisions/anvilwell_decisions/requests/fair_shares.py
+++ b/packages/decisions/anvilwell_decisions/requests/fair_shares.py
@@ -1,30 +1,31 @@
-"""Shares the places of a service that is short of them by organisation."""
+"""Divides the capacity of an overloaded service between organisations."""
 
 import collections
 
 from anvilwell_decisions.requests import priority_weights
 
-# A service is short once so many of its replicas, as a share, have refused
-# for want of room within `REFUSAL_MEMORY_S`. One that refuses without cause
-# is no shortage.
+# A service is overloaded once this share of its replicas have refused calls
+# for lack of capacity within `REFUSAL_TTL_S` seconds. A single replica that
+# refuses calls without cause is not an overload.
 OVERLOAD_SHARE = 0.5
 REFUSAL_TTL_S = 1.0
-# The limit shrinks by this with each refusal of a service that is short;
-# each answer makes it grow, by one in as many answers as it allows.
+# Each refusal during an overload multiplies the limit by this factor. Each
+# answered call raises it by 1 / limit, that is by one per full round.
 BACKOFF = 0.95
-# A limit that has kept nobody back for so long, in seconds, is dropped.
+# A limit that has refused no call for this many seconds is dropped.
 LIMIT_TTL_S = 2.0
 
 
 class FairShares:
-    """What each organisation has under way at one service, at one entry.
+    """Limits the calls in flight of each organisation at one service.
 
-    While the service is short, an organisation may have as much under way
-    as the limit leaves free, times the weight of its rank, and always one
-    call. So those of a rank that send much hold equal parts, and there is
-    room left for the others, whose number need not be known. Memory is an
-    integer for each organisation that has a call under way. Times are in
-    seconds of one clock.
+    Each entry limits its own calls. While the service is overloaded, an
+    organisation may have as many calls in flight as the limit leaves free,
+    times the weight of the call's priority, and always at least one.
+    Organisations of equal priority that send many calls thus hold equal
+    shares, and capacity remains for the others, whose number need not be
+    known. The state is one integer for each organisation with a call in
+    flight. Times are in seconds of one clock.
     """
 
     def __init__(self):
@@ -35,18 +36,19 @@
 
     @property
     def limit(self):
-        """How much may be under way here, None for no limit."""
+        """How many calls this entry may have in flight, None for no limit."""
         return self._limit
 
     @property
     def total(self):
-        """How much is under way here."""
+        """How many calls of all organisations are in flight."""
         return self._in_flight_by_organisation.total()
 
     def begin(self, organisation, now, weight=priority_weights.MAX_WEIGHT):
-        """Count a new call and return True, or False if it is too much.
+        """Count a new call and return True, or return False to refuse it.
 
-        ``weight`` is that of the call's rank, see `precedence`.
+        ``weight`` is the weight of the call's priority, see
+        `priority_weights`.
         """
         if self._limit and now - self._limit_applied_at > LIMIT_TTL_S:
             self._limit = None
@@ -57,11 +59,12 @@
         return True
 
     def _is_within_share(self, organisation, weight):
+        """Return whether an organisation may have another call in flight."""
         held = self._in_flight_by_organisation[organisation]
         return not held or held < weight * (self._limit - self.total)
 
     def end(self, organisation, is_answered):
-        """Take a call off that `begin` counted."""
+        """Remove a call that `begin` counted."""
         self._in_flight_by_organisation[organisation] -= 1
         if not self._in_flight_by_organisation[organisation]:
             del self._in_flight_by_organisation[organisation]
@@ -69,7 +72,7 @@
             self._limit += 1 / self._limit
 
     def refused(self, replica_id, replica_count, now):
-        """Take in that one of so many `replicas` refused for want of room."""
+        """Record that one of `replica_count` replicas was full."""
         self._refused_at_by_replica = {
             each_id: at
             for each_id, at in self._refused_at_by_replica.items()
--- a/packages/decisions/anvilwell_decisions/requests/fingerprints.py
+++ b/packages/decisions/anvilwell_decisions/requests/fingerprints.py
@@ -1,29 +1,29 @@
-"""Tells whether two requests ask a backend server for the same thing."""
+"""Fingerprints that identify repeated requests to a backend server."""
 
 import hashlib
 
 DIGEST_BYTES = 16
-# What a backend server tells callers apart by.
+# Headers by which a backend server may distinguish callers.
 CREDENTIALS = ("authorization", "cookie")
 
 
 def fingerprint(method, host, target, body, credentials=()):
     """Return the fingerprint of a request, as hexadecimal digits.
 
-    It is the same each time a caller sends the same request, by whatever
-    entry and under whatever request id. Callers choose what they send, so
-    it is a cryptographic digest: nobody can make another's request look
-    like their own.
+    A caller that repeats a request gets the same fingerprint, whichever entry
+    and request id are used. As callers choose the content, the fingerprint is
+    a cryptographic digest: a caller can't craft a request with the fingerprint
+    of another caller's request.
 
     Parameters
     ----------
     method, host, target : str
-        What is asked for; ``target`` has the query.
+        The request line and host; ``target`` includes the query.
     body : bytes
-        The whole body.
+        The complete body.
     credentials : iterable of str
-        Who sends it: the name of an organisation, which may have several
-        keys, and values of the headers named in `CREDENTIALS`.
+        Identity of the caller: the name of an organisation, which may have
+        several keys, and values of the headers named in `CREDENTIALS`.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     texts = (method, host, target, *credentials)
--- a/packages/decisions/anvilwell_decisions/requests/grants.py
+++ b/packages/decisions/anvilwell_decisions/requests/grants.py
@@ -1,24 +1,27 @@
-"""Rate limits of teams that hold across entries.
+"""Rate limits of teams that hold across all entries.
 
-One issuer for each team divides its rate into grants that lapse. The
-sum of the grants that may still be in use is never above the limit,
-whatever messages are lost, late or doubled.
+For each team one issuer divides the rate into grants that expire. The sum of
+the grants that may still be in use never exceeds the limit, even if messages
+are lost, delayed or duplicated.
 """
 
 import heapq
 import typing
 
+# The bucket holds the requests of this many seconds.
 BURST_S = 1.0
+# How long a request waits while its entry has no grant.
 NO_GRANT_WAIT_S = 1.0
+# Smallest demand that counts for an entry, as a share of the team's limit.
 _MIN_SHARE = 0.02
 
 
 class Grant(typing.NamedTuple):
-    """The right to `rate_s` requests a second for `ttl_s` seconds.
+    """Permission to pass `rate_per_s` requests per second for `ttl_s` seconds.
 
-    The entry counts ``ttl_s`` from when it sent its demand, so that it
-    stops before the issuer gives the share away. ``number`` grows, and
-    ``term`` grows with each new issuer.
+    The entry counts ``ttl_s`` from when it sent its demand, so that its grant
+    expires before the issuer gives the share to another entry. ``number``
+    increases with each grant, and ``term`` with each new issuer.
     """
 
     team: str
@@ -30,9 +33,10 @@
 
 
 class Demand(typing.NamedTuple):
-    """What an entry has been asked for, in requests a second.
+    """The rate at which an entry receives requests, per second.
 
-    ``term`` and ``number`` are those of the grant it uses, 0 for none.
+    ``term`` and ``number`` identify the grant that the entry uses; both are 0
+    if it has none.
     """
 
     team: str
@@ -45,7 +49,7 @@
 class GrantSettings(typing.NamedTuple):
     """Settings of grants, in seconds.
 
-    ``margin_s`` covers the drift of two clocks within ``ttl_s``.
+    ``margin_s`` allows for the drift between two clocks within ``ttl_s``.
     """
 
     ttl_s: float = 6.0
@@ -53,13 +57,15 @@
 
 
 class _GrantedShare(typing.NamedTuple):
+    """A grant that its entry may still use, and when it expires."""
+
     number: int
     rate_per_s: float
     until: float
 
 
 class _Account:
-    """What one entry wants, and the grants that it may still use."""
+    """The demand of one entry, and the grants that it may still use."""
 
     def __init__(self):
         self.demand_per_s = 0.0
@@ -71,7 +77,7 @@
         return max((share.rate_per_s for share in self.shares), default=0.0)
 
     def drop_unused(self, now, number):
-        """Drop grants that have lapsed or that the entry has replaced."""
+        """Drop grants that expired or that the entry has replaced."""
         self.shares = [
             share
             for share in self.shares
@@ -80,21 +86,21 @@
 
 
 class Issuer:
-    """Divides one team's rate between the entries that ask.
+    """Divides the rate of one team between the entries that request it.
 
-    A new issuer can't know what the last one gave, so it gives nothing
-    until those grants have lapsed.
+    A new issuer has no record of the grants of the previous one, so it grants
+    nothing until those have expired.
 
     Parameters
     ----------
     team : str
-        Whose rate it is.
-    limit_s : float
-        Requests a second over all entries.
+        The team that the rate belongs to.
+    limit_per_s : float
+        Requests per second over all entries.
     term : int
-        Fencing number of the lease that makes it the issuer.
+        Fencing number of the lease that makes this entry the issuer.
     now : float
-        When it became the issuer; monotonic seconds.
+        When it became the issuer, in monotonic seconds.
     """
 
     def __init__(self, team, limit_per_s, term, now, settings=None):
@@ -111,13 +117,14 @@
 
     @property
     def _share_lifetime_s(self):
+        """How long a grant may be in use, seen from the issuer's clock."""
         return self._settings.ttl_s + self._settings.margin_s
 
     def issue(self, demand, now):
-        """Return the `Grant` that answers a `Demand`."""
+        """Return the `Grant` for a `Demand`."""
         self._expire_shares(now)
         account = self._account(demand.entry_id)
-        # Another issuer's numbers say nothing of this one's grants.
+        # Numbers of another issuer do not refer to grants of this one.
         number = demand.number if demand.term == self._term else 0
         self._drop_unused_shares(account, now, number)
         min_per_s = self._limit_per_s * _MIN_SHARE
@@ -139,7 +146,7 @@
         )
 
     def _fair_rate_per_s(self, account):
-        """Return the fair part, within what is surely free."""
+        """Return the proportional share, limited to what is surely free."""
         free_per_s = self._limit_per_s - (
             self._held_per_s - account.held_per_s
         )
@@ -164,7 +171,7 @@
         self._held_per_s += account.held_per_s - before_per_s
 
     def _expire_shares(self, now):
-        """Take back what has lapsed; forget entries that are silent."""
+        """Reclaim expired shares; drop entries that sent no demand since."""
         while self._expiries and self._expiries[0][0] <= now:
             _, entry_id = heapq.heappop(self._expiries)
             account = self._accounts_by_entry.get(entry_id)
@@ -177,9 +184,9 @@
 
 
 class TeamRate:
-    """An entry's part of a team's rate: a token bucket on a grant.
+    """An entry's part of a team's rate: a token bucket filled by its grant.
 
-    Without a grant that holds it lets nothing through.
+    Without a valid grant no request passes.
     """
 
     def __init__(self, team, entry_id):
@@ -192,7 +199,7 @@
         self._request_count = 0
 
     def demand(self, window_s):
-        """Return the `Demand` for the requests since the last one."""
+        """Return the `Demand` for the requests since the previous one."""
         rate_per_s = self._request_count / window_s
         self._request_count = 0
         used = self._grant
@@ -203,7 +210,7 @@
         )
 
     def granted(self, grant, demanded_at):
-        """Take a grant; `asked_at` is when its demand was sent."""
+        """Use a newer grant; `demanded_at` is when its demand was sent."""
         old = self._grant
         if old and (grant.term, grant.number) <= (old.term, old.number):
             return
@@ -211,11 +218,11 @@
         self._until = demanded_at + grant.ttl_s
 
     def rate_per_s(self, now):
-        """Return the rate that holds now, in requests a second."""
+        """Return the current rate, in requests per second."""
         return self._grant.rate_per_s if now < self._until else 0.0
 
     def take(self, now):
-        """Return None if a request may go on, else seconds to wait."""
+        """Return None if a request may pass, else the seconds to wait."""
         self._request_count += 1
         rate_per_s = self.rate_per_s(now)
         filled = self._tokens + (now - self._filled_at) * rate_per_s
--- a/packages/decisions/anvilwell_decisions/requests/limits.py
+++ b/packages/decisions/anvilwell_decisions/requests/limits.py
@@ -1,17 +1,19 @@
-"""A concurrency limit that is learned from latency."""
+"""A concurrency limit that adapts to measured latency."""
 
 import typing
 
 
-# A server that let requests wait may have more room later on.
+# Growth of the cap with each window in which the limit grows, as a saturated
+# server may have more capacity later.
 _CEILING_STEP = 0.25
 
 
 class LimitBounds(typing.NamedTuple):
     """Settings of the adaptive limit.
 
-    ``tolerance`` is how much slower than its best a server may get
-    before the limit shrinks. ``window`` is in requests.
+    ``tolerance`` is the ratio of the current latency to the best one above
+    which the limit shrinks, by the factor ``backoff``. ``window`` is the
+    number of requests between two adjustments.
     """
 
     initial: int = 16
@@ -23,13 +25,13 @@
 
 
 class AdaptiveLimit:
-    """Additive increase, multiplicative decrease on latency per work.
+    """Additive increase, multiplicative decrease by latency per unit of work.
 
-    Once a window of requests has ended, their latency per unit of work
-    is compared with the best that was ever seen. The limit grows while
-    it is in use and the latency is within tolerance, and shrinks when
-    it is not. At its lowest, when fewer requests cannot help, the best
-    is learned anew: the server itself has become slower.
+    After each window of completed requests, their latency per unit of work is
+    compared with the best seen so far. The limit grows while it is fully used
+    and the latency is within the tolerance; it shrinks when the latency is
+    above. At the lowest limit, where fewer requests can't help, the server
+    itself must have become slower: its current latency becomes the new best.
     """
 
     def __init__(self, bounds=None):
@@ -44,16 +46,16 @@
         self._window_max_demand = 0
 
     def observe(self, latency_s, work, demand):
-        """Take in one end of a request.
+        """Record one completed request.
 
         Parameters
         ----------
         latency_s : float
-            From admission to the end, in seconds.
+            Time from admission to completion, in seconds.
         work : float
-            What it took, such as generated tokens; 1 if unknown.
-        wanted : int
-            Requests in flight or queued just before this one ended.
+            Amount of work done, such as generated tokens; 1 if unknown.
+        demand : int
+            Requests in flight or queued just before this one completed.
         """
         self._window_latency_s += latency_s
         self._window_work += max(1.0, work)
@@ -63,12 +65,12 @@
             self._close_window()
 
     def record_saturation(self, running):
-        """Note that the server itself lets requests wait.
+        """Cap the limit, as the server has requests waiting inside it.
 
         Parameters
         ----------
         running : int
-            Requests that it works on; more at a time cannot help.
+            Requests that the server runs; sending it more does not help.
         """
         self._ceiling = max(self._bounds.lowest, running)
         self.limit = min(self.limit, self._ceiling)
--- a/packages/decisions/anvilwell_decisions/requests/loads.py
+++ b/packages/decisions/anvilwell_decisions/requests/loads.py
@@ -1,12 +1,12 @@
-"""Own work in flight and lagging reports, put together."""
+"""Load estimates from own requests and delayed reports."""
 
 
 class Loads:
-    """Estimates each replica's load.
+    """Estimates the load of each replica.
 
-    A report tells how much of the load is this entry's own; that part
-    is replaced by what the entry itself has in flight now, so only the
-    other entries' part is late.
+    A report says how much of the load is this entry's own. That part is
+    replaced by the number of requests that the entry has in flight now, so
+    that only the part of the other entries is out of date.
     """
 
     def __init__(self):
@@ -16,12 +16,12 @@
         self.total_own = 0
 
     def started(self, replica_id):
-        """Count one attempt that was sent to a replica."""
+        """Count an attempt that was sent to a replica."""
         self._own_by_id[replica_id] = self._own_by_id.get(replica_id, 0) + 1
         self.total_own += 1
 
     def ended(self, replica_id):
-        """Count the end of one attempt."""
+        """Count the end of an attempt."""
         own = self._own_by_id.get(replica_id, 0)
         if own == 0:
             return
@@ -32,28 +32,28 @@
             self._own_by_id[replica_id] = own - 1
 
     def report(self, report):
-        """Take a late report."""
+        """Record a delayed load report."""
         self._reported_by_id[report.replica_id] = report.in_flight
         others = max(0, report.in_flight - report.own)
         self._others_by_id[report.replica_id] = others
 
     def forget(self, replica_id):
-        """Drop the reports of a replica; its own work still ends."""
+        """Drop the reports of a replica; its own attempts stay counted."""
         self._others_by_id.pop(replica_id, None)
         self._reported_by_id.pop(replica_id, None)
 
     def own(self, replica_id):
-        """Return this entry's own work in flight on a replica."""
+        """Return this entry's requests in flight at a replica."""
         return self._own_by_id.get(replica_id, 0)
 
     def others(self, replica_id):
-        """Return the other entries' work, as last reported."""
+        """Return the other entries' requests, as last reported."""
         return self._others_by_id.get(replica_id, 0)
 
     def reported(self, replica_id):
-        """Return the whole load as last reported."""
+        """Return the total load as last reported."""
         return self._reported_by_id.get(replica_id, 0)
 
     def estimate(self, replica_id):
-        """Return the estimate of a replica's load now."""
+        """Return the estimated current load of a replica."""
         return self.own(replica_id) + self.others(replica_id)
--- a/packages/decisions/anvilwell_decisions/requests/pool.py
+++ b/packages/decisions/anvilwell_decisions/requests/pool.py
@@ -1,8 +1,8 @@
-"""Replicas that can be drawn at random under constraints in O(1)."""
+"""Replicas indexed by constraints, for random draws in O(1)."""
 
 
 class RandomSet:
-    """A set with O(1) insertion, removal and random draw."""
+    """A set with insertion, removal and random draw in O(1)."""
 
     def __init__(self):
         self._items = []
@@ -18,14 +18,14 @@
         return item in self._positions_by_item
 
     def add(self, item):
-        """Add `item`, once."""
+        """Add `item` unless it is present."""
         if item in self._positions_by_item:
             return
         self._positions_by_item[item] = len(self._items)
         self._items.append(item)
 
     def discard(self, item):
-        """Remove `item` if it is there."""
+        """Remove `item` if it is present."""
         position = self._positions_by_item.pop(item, None)
         if position is None:
             return
@@ -39,7 +39,7 @@
         return self._items[rng.randrange(len(self._items))]
 
     def item_at(self, number):
-        """Return the item at `number`, counted round."""
+        """Return the item at index `number`, modulo the size."""
         return self._items[number % len(self._items)]
 
 
@@ -55,7 +55,7 @@
         return len(self.facts_by_id)
 
     def add_replica(self, facts):
-        """Add a replica, or replace what is known of it."""
+        """Add a replica, or replace its facts."""
         self.remove_replica(facts.replica_id)
         self.facts_by_id[facts.replica_id] = facts
         for constraint in _constraints(facts):
@@ -65,7 +65,7 @@
             members.add(facts.replica_id)
 
     def remove_replica(self, replica_id):
-        """Remove a replica if it is there; return what was known."""
+        """Remove a replica; return its facts, or None if it is absent."""
         facts = self.facts_by_id.pop(replica_id, None)
         if facts is None:
             return None
@@ -77,12 +77,12 @@
         return facts
 
     def eligible(self, request):
-        """Return the `DrawSet` of replicas that meet the constraints."""
+        """Return the `RandomSet` of replicas that meet the constraints."""
         constraint = (request.version, request.adapter)
         return self._sets_by_constraint.get(constraint, self._empty_set)
 
     def is_eligible(self, replica_id, request):
-        """Return whether a replica may take `request`."""
+        """Return whether a replica may be sent `request`."""
         return (
             replica_id in self.eligible(request)
             and replica_id not in request.excluded
@@ -90,6 +90,7 @@
 
 
 def _constraints(facts):
+    """Return the (version, adapter) pairs that a replica satisfies."""
     versions = ("", *facts.versions)
     adapters = ("", *facts.adapters)
     return {(v, a) for v in versions for a in adapters}
--- a/packages/decisions/anvilwell_decisions/requests/priority_weights.py
+++ b/packages/decisions/anvilwell_decisions/requests/priority_weights.py
@@ -1,26 +1,26 @@
-"""What a priority is worth where places are short."""
+"""Weights of priorities for sharing scarce capacity."""
 
-# Each rank below the highest one gets so much of what the rank above it
-# gets, when both want more than there is.
+# While capacity is scarce, each rank below the highest one gets this share of
+# what the rank above it gets.
 WEIGHT_STEP = 0.5
-# No rank gets less than this part of the highest one's: a quarter of the
-# service of all is the least that anybody is promised.
+# Smallest weight, relative to the highest rank. Every caller is promised at
+# least a quarter of the average service.
 MIN_WEIGHT = 0.25
 MAX_WEIGHT = 1.0
 
 
 def weight(priority, highest_priority):
-    """Return the weight of a priority beside the `highest` one in force.
+    """Return the weight of a priority, given the `highest_priority` in use.
 
-    Lower numbers rank higher. A priority that is above the highest one, as
-    of another version of the configuration, counts as that.
+    Lower numbers rank higher. A priority above the highest one, which can come
+    from another version of the configuration, gets the weight of the highest.
     """
     ranks_below = max(0, priority - highest_priority)
     return max(MIN_WEIGHT, MAX_WEIGHT * WEIGHT_STEP**ranks_below)
 
 
 def highest_priority(configuration):
-    """Return the highest priority that a `facts.Configuration` gives."""
+    """Return the highest priority in a `facts.Configuration`."""
     priorities = [route.priority for route in configuration.routes]
     priorities += [
         organisation.priority
--- a/packages/decisions/anvilwell_decisions/requests/quarantine.py
+++ b/packages/decisions/anvilwell_decisions/requests/quarantine.py
@@ -1,46 +1,48 @@
-"""Holds back requests under which replicas end.
+"""Holds back requests that crash replicas.
 
-A request that makes a replica's process end would otherwise be retried at
-the next replica, and come again from its caller, until none is left. Which
-request did it can't be seen, as all that a replica ran are cut together;
-but bystanders do not meet a second replica that ends, or seldom.
+A request that crashes a replica's process would otherwise be retried at the
+next replica, and repeated by its caller, until no replica is left. Which of
+its requests crashed a replica can't be observed, as all responses in flight
+are cut at the same time. Other requests are told apart by the count: it is
+rare that an innocent request is running at two crashes.
 """
 
 import collections
 import typing
 
-# A connection may be cut though the replica goes on. Its registration
-# lapses three heartbeats after its end, some four seconds, if nothing
-# else tells of it before.
+# How long a cut response is matched with a crash of its replica. A cut does
+# not prove a crash: the replica may be running. Without an earlier sign, a
+# crash shows when the registration expires after three missed heartbeats,
+# about four seconds.
 CUT_TTL_S = 6.0
-# After `SUSPECT_CRASHES`. A caller's own retries fall into it, so a third
-# replica stays for the other callers; a bystander that was unlucky twice
-# may come back after it.
+# Pause after `SUSPECT_CRASHES`. It covers the caller's own retries, so that
+# they do not crash a third replica, and is short for an innocent request
+# that was running at two crashes.
 SHORT_PAUSE_S = 5.0
-# After `PROVEN_CRASHES` or more, and how long ends are remembered.
+# Pause after `PROVEN_CRASHES` or more, and how long crashes are remembered.
 LONG_PAUSE_S = 600.0
 SUSPECT_CRASHES = 2
 PROVEN_CRASHES = 3
 
 
 class _CutAnswer(typing.NamedTuple):
-    """A request whose answer was cut, and when."""
+    """A request whose response was cut, and when."""
 
     fingerprint: str
     at: float
 
 
 class _CrashRecord(typing.NamedTuple):
-    """The replicas that ended under one request, and the last time."""
+    """The replicas that crashed under one request, and the last time."""
 
     replica_ids: frozenset
     at: float
 
 
 class KnownCrashes(typing.NamedTuple):
-    """The replicas that ended under a request, and how long ago the last.
+    """The replicas that crashed under a request, to share with other entries.
 
-    ``age_s`` is in seconds.
+    ``age_s`` is the time since the latest crash, in seconds.
     """
 
     fingerprint: str
@@ -49,9 +51,10 @@
 
 
 class Quarantine:
-    """Counts the replicas that ended under each request.
+    """Counts the replicas that crashed under each request.
 
-    A replica's id names one life of it. Times are in seconds of one clock.
+    A replica id stands for one incarnation of a replica. Times are in seconds
+    of one clock.
     """
 
     def __init__(self):
@@ -61,19 +64,19 @@
 
     @property
     def is_empty(self):
-        """Whether no replica has ended under any request lately."""
+        """Whether no replica has recently crashed under any request."""
         return not self._records_by_fingerprint
 
     @property
     def cut_replica_ids(self):
-        """Ids of the replicas that cut an answer lately."""
+        """Ids of the replicas that recently cut a response."""
         return set(self._cuts_by_replica)
 
     def record_cut(self, fingerprint, replica_id, now):
-        """Note that a replica cut the answer to a request.
+        """Record that a replica cut the response to a request.
 
-        Returns whether the replica is known to have ended, so that the
-        end counts against the request at once.
+        Returns whether the replica is already known to have crashed, in which
+        case the crash counts against the request at once.
         """
         self._drop_expired(now)
         if replica_id in self._crashed_at_by_replica:
@@ -83,12 +86,12 @@
         return False
 
     def record_crash(self, replica_id, now):
-        """Note that a replica has ended.
+        """Record that a replica has crashed.
 
         Returns
         -------
         set of str
-            Fingerprints of the requests that it counts against.
+            Fingerprints of the requests that the crash counts against.
         """
         self._drop_expired(now)
         self._crashed_at_by_replica[replica_id] = now
@@ -99,7 +102,7 @@
         return found
 
     def add_crashes(self, fingerprint, replica_ids, now):
-        """Take in replicas that ended under a request."""
+        """Add replicas that crashed under a request."""
         known = self._records_by_fingerprint.get(fingerprint)
         before = known.replica_ids if known else frozenset()
         if not before.issuperset(replica_ids):
@@ -117,31 +120,32 @@
         return sorted(crashes, key=lambda one: -len(one.replica_ids))
 
     def clear(self, fingerprint):
-        """Note that a replica answered a request whole: it ends none."""
+        """Drop the crashes of a request that got a complete response."""
         self._records_by_fingerprint.pop(fingerprint, None)
 
     def replica_ids(self, fingerprint):
-        """Return the ids of the replicas that ended under a request."""
+        """Return the ids of the replicas that crashed under a request."""
         record = self._records_by_fingerprint.get(fingerprint)
         return record.replica_ids if record else frozenset()
 
     def crash_count(self, fingerprint):
-        """Return how many replicas ended under a request."""
+        """Return how many replicas crashed under a request."""
         return len(self.replica_ids(fingerprint))
 
     def needs_trial(self, fingerprint, now):
-        """Return whether a request is suspect, but held back no longer."""
+        """Return whether a request is suspect and its pause is over."""
         is_suspect = self.crash_count(fingerprint) >= SUSPECT_CRASHES
         return is_suspect and not self.wait_s(fingerprint, now)
 
     def wait_s(self, fingerprint, now, min_crashes=SUSPECT_CRASHES):
-        """Return how long a request is held back, in seconds; 0 if not.
+        """Return how long a request is still held back, in seconds; 0 if not.
 
         Parameters
         ----------
         min_crashes : int
-            Ends from which on it is. `PROVEN_CRASHES` is for work that loses
-            more by a short pause than one replica of many is worth.
+            Crashes from which on a request is held back. `PROVEN_CRASHES` is
+            for work to which a short pause costs more than the loss of one of
+            many replicas.
         """
         record = self._records_by_fingerprint.get(fingerprint)
         crash_count = len(record.replica_ids) if record else 0
@@ -160,6 +164,7 @@
         )
 
     def _drop_expired(self, now):
+        """Drop cuts, crashes and records that are too old to count."""
         self._records_by_fingerprint = {
             fingerprint: record
             for fingerprint, record in self._records_by_fingerprint.items()
--- a/packages/decisions/anvilwell_decisions/requests/records.py
+++ b/packages/decisions/anvilwell_decisions/requests/records.py
@@ -1,17 +1,19 @@
-"""What is recorded of a request that must run at most once."""
+"""Stored records of requests that must be executed at most once."""
 
 import enum
 import hashlib
 import typing
 
+# Records are spread over this many prefixes of the store's keys.
 SHARDS = 64
+# Larger response bodies are not stored with the outcome.
 MAX_BODY_BYTES = 4096
 KEY_PREFIX = "anvilwell/claim"
 _SEPARATOR = b"\x00"
 
 
 class State(enum.StrEnum):
-    """How far the one execution of a key has come."""
+    """The progress of the one execution of a key."""
 
     CLAIMED = "claimed"
     UNKNOWN = "unknown"
@@ -19,7 +21,7 @@
 
 
 class RecordedOutcome(typing.NamedTuple):
-    """A whole answer; ``body`` is empty if it was too large to keep."""
+    """A complete response; ``body`` is empty if it was too large to store."""
 
     status: int
     content_type: str = ""
@@ -28,11 +30,11 @@
 
 
 class Record(typing.NamedTuple):
-    """The record of one key.
+    """The record of one idempotency key.
 
-    ``claim_id`` is unique to the one request that may be forwarded;
-    ``owner`` names the entry and its incarnation; ``digest`` is that of
-    the request, so that a key is not used for two different requests.
+    ``claim_id`` identifies the one request that may be forwarded. ``owner`` is
+    the entry that claimed the key, with its incarnation. ``digest`` is the
+    digest of the request, to detect a key that is reused for another request.
     """
 
     claim_id: str
@@ -43,17 +45,18 @@
 
 
 class StoredRecord(typing.NamedTuple):
-    """A record as it is kept, with its revision."""
+    """A record with its revision in the store."""
 
     record: Record
     revision: int
 
 
 def store_key(service, team, key):
-    """Return where the record of a caller's idempotency key is kept.
+    """Return the store key for a caller's idempotency key.
 
-    Keys of different services or teams never meet. The caller's key is
-    hashed, as it may hold what must not be listed.
+    Equal keys of different services or teams get different store keys. The
+    caller's key is hashed, as it may contain confidential data that must not
+    appear in listings.
     """
     name = _SEPARATOR.join(p.encode() for p in (service, team, key))
     digest = hashlib.blake2b(name, digest_size=16).hexdigest()
@@ -62,14 +65,14 @@
 
 
 def request_digest(method, path, body):
-    """Return the digest that tells two requests of one key apart."""
+    """Return a digest that distinguishes requests with the same key."""
     parts = (method.encode(), path.encode(), body)
     sized = b"".join(len(p).to_bytes(8, "big") + p for p in parts)
     return hashlib.blake2b(sized, digest_size=16).hexdigest()
 
 
 def bounded_outcome(status, content_type, body):
-    """Return the `Outcome`, without its body if that is too large."""
+    """Return the `RecordedOutcome`, without the body if it is too large."""
     if len(body) <= MAX_BODY_BYTES:
         return RecordedOutcome(status, content_type, body)
     return RecordedOutcome(status, content_type, b"", False)
--- a/packages/decisions/anvilwell_decisions/requests/retries.py
+++ b/packages/decisions/anvilwell_decisions/requests/retries.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt is made again, after how long, and where."""
+"""Decides whether a failed attempt is retried, and after which delay."""
 
 import enum
 import typing
@@ -9,17 +9,17 @@
 
 
 class Action(enum.StrEnum):
-    """What follows a failed attempt."""
+    """What to do after a failed attempt."""
 
     RETRY = "retry"
     GIVE_UP = "give-up"
 
 
 class FailedAttempt(typing.NamedTuple):
-    """One failed attempt.
+    """A failed attempt at a request.
 
-    ``answered`` says whether the caller already has a part of an
-    answer. ``time_left_s`` is what is left of the deadline.
+    ``has_response_started`` says whether the caller already has a part of a
+    response. ``time_left_s`` is the time until the deadline.
     """
 
     verdict: verdicts.Verdict
@@ -33,7 +33,11 @@
 
 
 class RetryDecision(typing.NamedTuple):
-    """What to do; ``reason`` is the counted `reasons.Retry`, if one."""
+    """What to do after a failed attempt.
+
+    ``reason`` is the label under which a retry is counted, None if there is
+    none.
+    """
 
     action: Action
     delay_s: float = 0.0
@@ -44,7 +48,7 @@
     """Settings of retries.
 
     ``share`` is how many retries and hedges each first attempt earns;
-    ``burst`` is how many may be saved up.
+    ``burst`` is how many can be saved up.
     """
 
     share: float = 0.1
@@ -56,8 +60,8 @@
 
 GIVE_UP = RetryDecision(Action.GIVE_UP)
 
+# Whether a request may be sent again, by (verdict, idempotent).
 MAY_RETRY = {
-    # (verdict, idempotent): whether it may be sent again at all.
     (verdicts.Verdict.NOT_RUN, True): True,
     (verdicts.Verdict.NOT_RUN, False): True,
     (verdicts.Verdict.MAY_HAVE_RUN, True): True,
@@ -66,6 +70,7 @@
     (verdicts.Verdict.RAN, False): False,
 }
 
+# Reasons that another attempt can't change.
 _FINAL_REASONS = frozenset(
     {
         reasons.Refusal.BAD_REQUEST,
@@ -88,7 +93,7 @@
 
 
 class RetryBudget:
-    """Retries as a share of the first attempts, with a small burst."""
+    """A token bucket: retries as a share of first attempts, plus a burst."""
 
     def __init__(self, share, burst):
         self._share = share
@@ -96,11 +101,11 @@
         self._tokens = burst
 
     def earn(self):
-        """Count a first attempt."""
+        """Add the share of one first attempt."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def spend(self):
-        """Take one retry; return False if there is none left."""
+        """Use one retry; return False if none is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -108,10 +113,10 @@
 
 
 class Retries:
-    """Decides on retries and hedges of one service at one entry.
+    """Decides on the retries and hedges of one service at one entry.
 
-    Each class has its own budget, so that training that is turned away
-    does not use up what live needs.
+    Each priority class has its own budget, so that retries of refused training
+    requests do not use up those of live requests.
     """
 
     def __init__(self, rng, settings=None):
@@ -123,11 +128,11 @@
         }
 
     def first_attempt(self, priority=facts.Priority.LIVE):
-        """Count a first attempt; it earns its class a share of a retry."""
+        """Count a first attempt, which adds to its class's budget."""
         self._budgets_by_priority[priority].earn()
 
     def decide(self, failed_attempt):
-        """Return the `Decision` that follows a `Failure`."""
+        """Return the `RetryDecision` for a `FailedAttempt`."""
         if not self._is_allowed(failed_attempt):
             return GIVE_UP
         delay_s = self._delay_s(failed_attempt)
@@ -145,7 +150,7 @@
         has_response_started=False,
         priority=facts.Priority.LIVE,
     ):
-        """Return whether a second attempt may run beside the first."""
+        """Spend a retry on a parallel attempt, if allowed; return whether."""
         budget = self._budgets_by_priority[priority]
         return idempotent and not has_response_started and budget.spend()
 
@@ -158,7 +163,7 @@
         )
 
     def _delay_s(self, failed_attempt):
-        """Return a delay drawn evenly below a growing bound."""
+        """Return a uniformly random delay below an exponential bound."""
         if failed_attempt.attempts <= 1:
             return 0.0
         settings = self._settings
--- a/packages/decisions/anvilwell_decisions/requests/retry_after.py
+++ b/packages/decisions/anvilwell_decisions/requests/retry_after.py
@@ -1,24 +1,24 @@
-"""When callers that were refused for want of room may come back."""
+"""Retry delays for callers that were refused for lack of capacity."""
 
 import math
 
-# The first caller that is refused may come back after so long, in seconds:
-# several times what a call takes.
+# Delay of the first refused caller, in seconds: several times the duration
+# of a call.
 MIN_WAIT_S = 0.25
-# Answers of this long ago count half as much for how fast a service drains.
+# Half-life of answered calls in the measured answer rate, in seconds.
 HALF_LIFE_S = 1.0
-# Callers honour a wait of up to this part of the time that they have left.
+# Callers honour a delay of up to this share of the time that they have left.
 MAX_SHARE_OF_TIME_LEFT = 1 / 3
-# Beyond this a wait is no use to callers that want an answer soon.
+# Longer delays are useless to callers that need an answer soon, in seconds.
 MAX_WAIT_S = 2.0
 
 
 class RetrySchedule:
-    """Gives the callers that one entry refuses their turns at one service.
+    """Schedules the return of callers that one entry refused, for one service.
 
-    They come back one after the other, as fast as the service has answered
-    this entry's calls lately, and so in the order in which they came. Three
-    numbers are kept, however many wait. Times are in seconds.
+    They return one after another, at the rate at which the service recently
+    answered this entry's calls, and so in the order of their refusals. The
+    state is three numbers, however many callers wait. Times are in seconds.
     """
 
     def __init__(self):
@@ -27,30 +27,31 @@
         self._last_return_at = float("-inf")
 
     def answered(self, now):
-        """Take in that the service answered a call."""
+        """Record that the service answered a call."""
         self._decay(now)
         self._recent_answers += 1.0
 
     def answers_per_s(self, now):
-        """Return how many calls a second the service answers, about."""
+        """Return the recent rate of answered calls, per second."""
         self._decay(now)
         return self._recent_answers * math.log(2) / HALF_LIFE_S
 
     def _decay(self, now):
+        """Reduce the weight of earlier answers to their weight at `now`."""
         age_s = now - self._decayed_at
         self._recent_answers *= 0.5 ** (age_s / HALF_LIFE_S)
         self._decayed_at = now
 
     def wait_s(self, now, time_left_s):
-        """Return after how long a refused caller may come back.
+        """Return the delay before a refused caller may return, in seconds.
 
         Parameters
         ----------
         now : float
-            When it is refused.
-        left_s : float
-            How long the caller can still wait. One whose turn would come
-            too late is told the longest wait that it honours.
+            When the caller is refused.
+        time_left_s : float
+            How long the caller can still wait. If its turn would come too
+            late, it gets the longest delay that callers honour.
         """
         answers_per_s = self.answers_per_s(now)
         interval_s = 1 / answers_per_s if answers_per_s else MIN_WAIT_S
--- a/packages/decisions/anvilwell_decisions/requests/routing.py
+++ b/packages/decisions/anvilwell_decisions/requests/routing.py
@@ -1,4 +1,4 @@
-"""Which replica takes a request; one base class, several policies."""
+"""Routing policies: choose the replica for a request."""
 
 import abc
 import bisect
@@ -9,20 +9,21 @@
 from anvilwell_decisions.requests import loads
 from anvilwell_decisions.requests import pool
 
+# Random draws that may hit excluded replicas before all are searched.
 _MAX_DRAWS = 8
+# Smallest share of its full load that a new replica gets.
 _MIN_SLOW_START_SHARE = 0.1
 
 
 class Policy(abc.ABC):
     """Chooses replicas of one service for one entry.
 
-    Not safe for threads: its owner calls it on one thread or under a
-    lock.
+    Not thread-safe: the owner calls it from one thread or under a lock.
 
     Parameters
     ----------
     rng : random.Random
-        Source of the policy's draws.
+        Source of the random draws.
     """
 
     def __init__(self, rng):
@@ -35,20 +36,20 @@
 
     @property
     def replica_ids(self):
-        """Ids of the replicas that were taken in, as a set."""
+        """Ids of the replicas that the policy has, as a set."""
         return set(self._pool.facts_by_id)
 
     def replica_up(self, facts, now):
-        """Take in a replica, or new facts of one already known."""
+        """Add a replica, or update its facts."""
         self._pool.add_replica(facts)
 
     def replica_down(self, replica_id, now):
-        """Give the replica no new work; what it has goes on."""
+        """Send the replica no new requests; running ones continue."""
         self._pool.remove_replica(replica_id)
         self._loads.forget(replica_id)
 
     def report(self, report, now):
-        """Take a replica's late `facts.LoadReport`."""
+        """Record a replica's delayed `facts.LoadReport`."""
         if report.replica_id in self._pool.facts_by_id:
             self._loads.report(report)
 
@@ -57,12 +58,12 @@
         self._loads.started(replica_id)
 
     def ended(self, ended, now):
-        """Count the end of an attempt (a `facts.Ended`)."""
+        """Count the end of an attempt (a `facts.AttemptEnd`)."""
         self._loads.ended(ended.replica_id)
 
     @abc.abstractmethod
     def choose(self, request, now):
-        """Return a replica's id for `facts.RequestFacts`, or None."""
+        """Return a replica's id for a `facts.RequestFacts`, or None."""
 
     def _draw(self, request):
         """Return a random eligible replica, or None."""
@@ -78,14 +79,14 @@
 
 
 class RoundRobin(Policy):
-    """Takes the replicas in turn."""
+    """Chooses the replicas in turn."""
 
     def __init__(self, rng):
         super().__init__(rng)
         self._next_index = rng.randrange(1 << 16)
 
     def choose(self, request, now):
-        """Return the next replica that may take `request`."""
+        """Return the next eligible replica, or None."""
         eligible = self._pool.eligible(request)
         for _ in range(min(len(eligible), len(request.excluded) + 1)):
             self._next_index += 1
@@ -96,7 +97,7 @@
 
 
 class LeastReported(Policy):
-    """Takes the replica whose last report showed the least load."""
+    """Chooses the replica with the least load in its last report."""
 
     def __init__(self, rng):
         super().__init__(rng)
@@ -104,23 +105,23 @@
         self._order = sortedcontainers.SortedList()
 
     def replica_up(self, facts, now):
-        """Take in a replica."""
+        """Add a replica to the order."""
         super().replica_up(facts, now)
         self._insert(facts.replica_id)
 
     def replica_down(self, replica_id, now):
-        """Forget a replica."""
+        """Remove a replica from the order."""
         super().replica_down(replica_id, now)
         self._remove(replica_id)
 
     def report(self, report, now):
-        """Move the replica to its new place in the order."""
+        """Update the position of the replica in the order."""
         super().report(report, now)
         if report.replica_id in self._pool.facts_by_id:
             self._insert(report.replica_id)
 
     def choose(self, request, now):
-        """Return the least loaded replica that may take `request`."""
+        """Return the least loaded eligible replica, or None."""
         if not self._pool.eligible(request):
             return None
         allowed = (
@@ -144,15 +145,15 @@
 
 
 class PowerOfTwo(Policy):
-    """Takes the less loaded of two replicas drawn at random.
+    """Chooses the less loaded of two replicas drawn at random.
 
-    A fresh replica counts as more loaded than it is, so that it warms
-    up before it has its full part.
+    The load of a replica that was just added is scaled up, so that it gets
+    fewer requests while it warms up.
 
     Parameters
     ----------
     slow_start_s : float
-        Seconds after which a replica is no longer fresh.
+        Duration of the slow start of a new replica, in seconds.
     """
 
     def __init__(self, rng, *, slow_start_s=0.0):
@@ -161,18 +162,18 @@
         self._up_at_by_id = {}
 
     def replica_up(self, facts, now):
-        """Take in a replica; one that is new is fresh."""
+        """Add a replica; a new one begins its slow start."""
         if facts.replica_id not in self._pool.facts_by_id:
             self._up_at_by_id[facts.replica_id] = now
         super().replica_up(facts, now)
 
     def replica_down(self, replica_id, now):
-        """Give the replica no new work."""
+        """Send the replica no new requests."""
         super().replica_down(replica_id, now)
         self._up_at_by_id.pop(replica_id, None)
 
     def choose(self, request, now):
-        """Return the better of two draws."""
+        """Return the less loaded of two draws."""
         first = self._draw(request)
         second = self._draw(request)
         if first == second:
@@ -184,7 +185,7 @@
         return (load + 1) / self._slow_start_share(replica_id, now)
 
     def _slow_start_share(self, replica_id, now):
-        """Return the part of its full load that a replica may have."""
+        """Return the share of its full load that a replica may get."""
         up_at = self._up_at_by_id.get(replica_id)
         if up_at is None:
             return 1.0
@@ -196,18 +197,19 @@
 
 
 class PrefixAffinity(PowerOfTwo):
-    """Keeps a prompt prefix on few replicas while they are not loaded.
+    """Sends a prompt prefix to the same few replicas unless they are loaded.
 
-    A prefix hashes to a point on a ring of the replicas. The first of
-    the next few replicas whose load is within ``bound`` times the mean
-    takes the request; if none is, power of two choices does.
+    Prefixes and replicas are hashed to points on a ring. Of the next few
+    replicas after the prefix, the first one whose load is within ``bound``
+    times the mean is chosen. If there is none, the policy falls back to the
+    power of two choices.
 
     Parameters
     ----------
     bound : float
-        Load, as a multiple of the mean, up to which affinity holds.
+        Load, as a multiple of the mean, up to which affinity applies.
     candidates : int
-        Replicas that are tried on the ring.
+        How many replicas on the ring are tried.
     """
 
     POINTS_PER_REPLICA = 16
@@ -219,21 +221,21 @@
         self._ring = []
 
     def replica_up(self, facts, now):
-        """Put a replica's points on the ring."""
+        """Add a replica and its points on the ring."""
         if facts.replica_id not in self._pool.facts_by_id:
             for point in self._points(facts.replica_id):
                 bisect.insort(self._ring, point)
         super().replica_up(facts, now)
 
     def replica_down(self, replica_id, now):
-        """Take a replica's points off the ring."""
+        """Remove a replica and its points on the ring."""
         if replica_id in self._pool.facts_by_id:
             for point in self._points(replica_id):
                 del self._ring[bisect.bisect_left(self._ring, point)]
         super().replica_down(replica_id, now)
 
     def choose(self, request, now):
-        """Return a replica that likely has the prefix cached."""
+        """Return a replica that probably has the prefix cached."""
         if request.prefix:
             for replica_id in self._ring_candidates(request):
                 if self._is_within_bound(replica_id, now):
@@ -272,15 +274,15 @@
 
 
 class LeastOutstanding(Policy):
-    """Takes the replica with the least load, own attempts included.
+    """Chooses the replica with the least load, own attempts included.
 
-    It looks at all replicas of a service, so it is for services of few
-    replicas; there it spreads better than two draws. Equal loads are
-    taken in a random order, so that entries do not move in step.
+    It compares all replicas of a service, so it is meant for services with few
+    replicas, where it balances better than two draws. Ties are broken at
+    random, so that entries do not all choose the same replica.
     """
 
     def choose(self, request, now):
-        """Return the least loaded replica that may take `request`."""
+        """Return the least loaded eligible replica, or None."""
         allowed = [
             replica_id
             for replica_id in self._pool.eligible(request)
--- a/packages/decisions/anvilwell_decisions/requests/server_loads.py
+++ b/packages/decisions/anvilwell_decisions/requests/server_loads.py
@@ -1,22 +1,23 @@
-"""What replicas tell of their load, and for how long it is believed."""
+"""The load that replicas report with their responses, and its lifetime."""
 
 import typing
 
-# Other work on a replica's machine comes and goes many times a second.
+# How long a reported contention is valid: other work on a replica's machine
+# starts and stops many times per second.
 CONTENTION_TTL_S = 0.3
-# What runs and waits changes with each request.
+# How long reported counts are valid; they change with each request.
 COUNTS_TTL_S = 2.0
-# Work that takes as long as usual.
+# The contention if work takes as long as usual.
 NO_CONTENTION = 1.0
 
 
 class ServerLoad(typing.NamedTuple):
-    """A replica's load, as an answer of its own told it.
+    """The load of a replica, as reported in one of its responses.
 
-    ``running`` and ``waiting`` count requests, its own callers' and all
-    others'; ``slots`` is how many it runs at once. ``contention`` is how
-    long work takes on its machine at that moment, as a multiple of the
-    usual time; None if the replica does not tell.
+    ``running`` and ``waiting`` count the requests of all callers. ``slots``
+    is how many run at once. ``contention`` is how long work takes on the
+    replica's machine at that moment, as a multiple of the usual time; None if
+    the replica does not report it.
     """
 
     running: int
@@ -26,34 +27,34 @@
 
     @property
     def in_flight(self):
-        """How many requests the replica has, running or waiting."""
+        """The number of requests at the replica, running or waiting."""
         return self.running + self.waiting
 
 
 class _TimedLoad(typing.NamedTuple):
-    """An observation and when it was heard, in seconds."""
+    """A load and when it was received, in seconds."""
 
     load: ServerLoad
     at: float
 
 
 class ServerLoads:
-    """The newest observation of each replica, and what of it still holds.
+    """The newest reported load of each replica, as far as it is still valid.
 
-    Its age is that of the moment when the answer's head came, in seconds
-    of the caller's clock. Slots hold until a replica tells others; the
-    counts and the contention are forgotten by themselves.
+    The age counts from the arrival of the response's headers, by the clock of
+    this process. The slots are valid until the replica reports others; the
+    counts and the contention expire.
     """
 
     def __init__(self):
         self._loads_by_id = {}
 
     def record(self, replica_id, load, now):
-        """Take in what a replica told just now."""
+        """Record the load that a replica has just reported."""
         self._loads_by_id[replica_id] = _TimedLoad(load, now)
 
     def forget(self, replica_id):
-        """Forget a replica that is gone."""
+        """Drop the load of a removed replica."""
         self._loads_by_id.pop(replica_id, None)
 
     def slots(self, replica_id):
@@ -62,17 +63,18 @@
         return timed.load.slots if timed else 0
 
     def counts(self, replica_id, now):
-        """Return the `Observation` if its counts are believed, or None."""
+        """Return the `ServerLoad` if its counts are still valid, or None."""
         timed = self._loads_by_id.get(replica_id)
         if timed is None or now - timed.at > COUNTS_TTL_S:
             return None
         return timed.load
 
     def contention(self, replica_id, now):
-        """Return how long work takes now against the usual time.
+        """Return how long work takes now, as a multiple of the usual time.
 
-        `USUAL` if the replica does not tell, or told it too long ago. Work
-        never counts as quicker than usual: the pace is learned, not told.
+        `NO_CONTENTION` if it was not reported or has expired. Values below it
+        are ignored: the speed of a replica is measured, not taken from its
+        reports.
         """
         timed = self._loads_by_id.get(replica_id)
         if timed is None or now - timed.at > CONTENTION_TTL_S:
--- a/packages/decisions/anvilwell_decisions/requests/service_times.py
+++ b/packages/decisions/anvilwell_decisions/requests/service_times.py
@@ -1,24 +1,26 @@
-"""How long replicas take for one live call: what lasts and what is wrong."""
+"""Measured service times of live calls, per replica."""
 
 import collections
 import statistics
 
-# Weight of the newest call in a replica's lasting pace.
+# Weight of the newest call in a replica's baseline.
 _SMOOTHING = 0.03
-# Paces closer to the median than this ratio count as it: requests differ.
+# A baseline within this ratio of the median is treated as equal to it, as
+# differences of that size come from the requests.
 NEAR_MEDIAN_RATIO = 1.4
-# A replica's pace is believed after so many answers.
+# Responses after which a replica's baseline is used.
 MIN_ANSWERS = 10
-# A replica is degraded once so many answers in a row took this many times
-# its lasting pace. One slow answer is one long request.
+# A replica is degraded once `DEGRADED_ANSWERS` responses in a row took more
+# than `DEGRADED_RATIO` times its baseline. A single slow response may just
+# be a long request.
 DEGRADED_ANSWERS = 4
 DEGRADED_RATIO = 2.0
-# A replica that was degraded is tried again after so long without answers.
+# Seconds without a response after which a degraded replica is tried again.
 DEGRADED_TTL_S = 2.0
 
 
 class _ServiceTime:
-    """What is known of one replica; times are in seconds."""
+    """Measurements of one replica; times are in seconds."""
 
     def __init__(self):
         self.baseline_s = 0.0
@@ -28,20 +30,21 @@
 
     @property
     def is_known(self):
-        """Whether enough answers tell of it."""
+        """Whether there are enough responses for an estimate."""
         return self.answers >= MIN_ANSWERS
 
     @property
     def is_degraded(self):
-        """Whether the newest answers all were slow."""
+        """Whether all of the newest responses were slow."""
         degraded_s = DEGRADED_RATIO * self.baseline_s
         return self.is_known and min(self.newest) > degraded_s
 
     def add(self, duration_s, now):
-        """Take in one answer.
+        """Record one response.
 
-        A slow one counts as little as the bound until others follow; a
-        replica that stays slow is called slow in the end.
+        A single slow response counts at most `DEGRADED_RATIO` times the
+        baseline. Once several in a row are slow, they count in full, so that a
+        replica that stays slow gets a higher baseline.
         """
         self.newest.append(duration_s)
         self.answered_at = now
@@ -53,9 +56,10 @@
 
 
 class ServiceTimes:
-    """Seconds that one call takes at each replica, if it need not wait.
+    """Expected duration of a call at each replica, without queueing.
 
-    A replica that was never seen goes by the median of the others.
+    A replica without enough measurements is assumed to take the median of the
+    others.
     """
 
     def __init__(self):
@@ -63,7 +67,7 @@
         self._median_s = None
 
     def record(self, replica_id, duration_s, now):
-        """Take in that a call took `took_s` without its wait."""
+        """Record that a call took `duration_s`, without queueing."""
         known = self._times_by_id.get(replica_id)
         if known is None:
             known = self._times_by_id[replica_id] = _ServiceTime()
@@ -71,12 +75,12 @@
         self._median_s = None
 
     def forget(self, replica_id):
-        """Forget a replica that is gone."""
+        """Drop the measurements of a removed replica."""
         if self._times_by_id.pop(replica_id, None):
             self._median_s = None
 
     def expected_s(self, replica_id, now):
-        """Return the seconds for one call, 1.0 if none was ever answered."""
+        """Return the seconds for one call, 1.0 without any measurement."""
         known = self._times_by_id.get(replica_id)
         if known is None or not known.is_known:
             return self._median()
--- a/packages/decisions/anvilwell_decisions/requests/subsets.py
+++ b/packages/decisions/anvilwell_decisions/requests/subsets.py
@@ -1,4 +1,4 @@
-"""The bounded part of a service's replicas that one entry uses."""
+"""Chooses a bounded subset of a service's replicas for one entry."""
 
 import collections
 import itertools
@@ -9,10 +9,11 @@
 
 
 class SubsetSettings(typing.NamedTuple):
-    """Settings of subsetting.
+    """Settings of `Subset`.
 
-    ``size`` is how many replicas an entry uses; ``near_share`` is the
-    largest share of them in its own failure domain.
+    ``size`` is how many replicas an entry uses. ``local_share`` is the largest
+    share of them in the entry's own failure domain, while others can fill the
+    rest.
     """
 
     size: int = 48
@@ -20,28 +21,28 @@
 
 
 class SubsetChange(typing.NamedTuple):
-    """Replicas that came into the subset and that left it."""
+    """The replicas that entered and left the subset."""
 
     added: tuple
     removed: tuple
 
 
 class Subset:
-    """Chooses by rendezvous hashing, within a quota for each domain.
+    """Chooses replicas by rendezvous hashing, with a quota per failure domain.
 
-    In each failure domain the replicas with the lowest hash of entry
-    and replica are taken. A replica that comes or goes changes the
-    subset by at most one replica in each domain, and no two entries
-    have the same subset, so that load mixes over the fleet.
+    In each failure domain, the replicas with the lowest hash of entry and
+    replica are chosen. If a replica is added or removed, the subset changes by
+    at most one replica per domain. Entries have different subsets, so that
+    their load is spread over all replicas.
 
     Parameters
     ----------
     entry_id : str
         This entry.
     failure_domain : str
-        Where the entry is.
+        The failure domain of the entry.
     settings : SubsetSettings, optional
-        Size and share of the near domain.
+        Size of the subset and share of the local domain.
     """
 
     def __init__(self, entry_id, failure_domain, settings=None):
@@ -56,7 +57,7 @@
 
     @property
     def replicas_by_id(self):
-        """Facts of the chosen replicas."""
+        """Facts of the chosen replicas, by id."""
         chosen = itertools.chain(*self._chosen_by_domain.values())
         return {r: self._facts_by_id[r] for r in chosen}
 
@@ -69,7 +70,7 @@
         return replica_id in chosen
 
     def replica_up(self, facts):
-        """Take in a replica; return the `SubsetChange`."""
+        """Add or update a replica; return the `SubsetChange`."""
         old = self._facts_by_id.get(facts.replica_id)
         if old and old.failure_domain != facts.failure_domain:
             self._unrank(old)
@@ -81,7 +82,7 @@
         return self._choose()
 
     def replica_down(self, replica_id):
-        """Forget a replica; return the `SubsetChange`."""
+        """Remove a replica; return the `SubsetChange`."""
         facts = self._facts_by_id.get(replica_id)
         if facts is None:
             return SubsetChange((), ())
@@ -101,7 +102,7 @@
         return xxhash.xxh3_64_intdigest(name), replica_id
 
     def _choose(self):
-        """Choose anew; the cost is that of the subset, not the fleet."""
+        """Choose again, at a cost that depends on the subset's size only."""
         before = set(itertools.chain(*self._chosen_by_domain.values()))
         quotas = self._quotas_by_domain()
         self._chosen_by_domain = {
@@ -113,10 +114,10 @@
         return SubsetChange(added, tuple(sorted(before - after)))
 
     def _quotas_by_domain(self):
-        """Return how many replicas to take in each failure domain.
+        """Return how many replicas to choose in each failure domain.
 
-        The near domain has its share, the others share the rest evenly;
-        what a domain can't fill goes to those with replicas left.
+        The local domain gets its share, and the others divide the rest evenly.
+        What a domain can't fill goes to domains with replicas left.
         """
         counts = {d: len(r) for d, r in self._ranked_by_domain.items()}
         quotas = dict.fromkeys(counts, 0)
@@ -134,7 +135,7 @@
 
 
 def _distribute(quotas, counts, domains, remaining):
-    """Raise `quotas` evenly by `left`; return what could not be placed."""
+    """Raise `quotas` evenly by `remaining`; return what did not fit."""
     unfilled = [d for d in domains if quotas[d] < counts[d]]
     while remaining and unfilled:
         per_domain = max(1, remaining // len(unfilled))
--- a/packages/decisions/anvilwell_decisions/requests/trials.py
+++ b/packages/decisions/anvilwell_decisions/requests/trials.py
@@ -1,31 +1,36 @@
-"""Lets a request that may end replicas be tried once at a time.
+"""Limits trials of a suspect request to one at a time.
 
-Its pause ends at all entries at once, and its callers were all told when.
-Without this each entry lets it end one more replica before any has told
-the others.
+A request that may crash replicas is tried again after its pause, which ends
+at all entries and callers at the same time. Without this limit, each entry
+could crash one more replica before the others are notified.
 """
 
 import typing
 
-# A trial that nobody says is over counts as under way for so long.
+# A trial whose end is not reported expires after this many seconds.
 MAX_TRIAL_S = 5.0
-# When a request may ask again that was refused for another's trial.
+# Delay of a request that is refused during another trial, in seconds.
 RETRY_WAIT_S = 1.0
 
 
 class _Trial(typing.NamedTuple):
+    """A trial in progress and when it expires."""
+
     trial_id: str
     until: float
 
 
 class Trials:
-    """The trials under way. Times are in seconds of one clock."""
+    """The trials in progress. Times are in seconds of one clock."""
 
     def __init__(self):
         self._trials_by_fingerprint = {}
 
     def begin(self, fingerprint, trial_id, now):
-        """Return 0 if `trier` may try, else when to ask again, in seconds."""
+        """Begin the trial `trial_id`, if no other trial is in progress.
+
+        Returns 0 if it may run, else the seconds after which to ask again.
+        """
         self._trials_by_fingerprint = {
             key: trial
             for key, trial in self._trials_by_fingerprint.items()
@@ -37,7 +42,7 @@
         return 0.0 if trial.trial_id == trial_id else RETRY_WAIT_S
 
     def end(self, fingerprint, trial_id):
-        """Note that the trial of `trier` is over, if it was one."""
+        """End the trial `trial_id`, if it is the one in progress."""
         trial = self._trials_by_fingerprint.get(fingerprint)
         if trial and trial.trial_id == trial_id:
             del self._trials_by_fingerprint[fingerprint]
--- a/packages/decisions/anvilwell_decisions/requests/verdicts.py
+++ b/packages/decisions/anvilwell_decisions/requests/verdicts.py
@@ -1,7 +1,7 @@
-"""What each event on a request's path says of its execution.
+"""The verdict for each event that can end an attempt.
 
-The table is the one place where a verdict is decided; the data path
-reports events and looks their verdict up here.
+This table is the only place where verdicts are decided; the data path looks
+up the verdict of each event here.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class Hop(enum.StrEnum):
-    """Where on the path it happened."""
+    """The part of the request's path on which the event occurred."""
 
     ENTRY = "entry"
     ENTRY_TO_AGENT = "entry-to-agent"
@@ -41,7 +41,7 @@
 
 
 class VerdictRow(typing.NamedTuple):
-    """One row: an event at a hop, its verdict and reason, and why."""
+    """The verdict and reason for an event at a hop, and why they apply."""
 
     hop: Hop
     event: Event
@@ -195,10 +195,10 @@
 
 
 def look_up(hop, event):
-    """Return the `Row` of an event at a hop.
+    """Return the `VerdictRow` of an event at a hop.
 
-    An event that the table does not hold may have run: a verdict is
-    never better than what is known.
+    For an event that is not in the table, the verdict is that the request may
+    have run, which is the safe assumption.
     """
     unlisted = VerdictRow(
         hop, event, _MAY_HAVE_RUN, reasons.Refusal.INTERNAL, "not in the table"
