--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -85,7 +85,7 @@
         )
         self._tasks = []
         self._moves_by_model = {}
-        self._teller = notices.Teller()
+        self._notice_sender = notices.NoticeSender()
         self._telling = set()
         self._loading = set()
         self._lags_by_model = {}
@@ -129,7 +129,7 @@
         await self._paths.close()
         self._engine.close()
         self._neighbours.close()
-        self._teller.close()
+        self._notice_sender.close()
 
     def _gauge_values(self):
         """Return each `measures.GaugeValue` as of now."""
@@ -167,7 +167,7 @@
         """Take in which entries are there: for notices, news and help."""
         self._paths.set_peers(live.addresses_by_vm)
         self._neighbours.set_entries(live.candidates_by_vm)
-        self._teller.set_entries(
+        self._notice_sender.set_entries(
             live.addresses_by_vm, self._neighbours.ranked()
         )
 
@@ -251,7 +251,7 @@
 
     async def _addresses(self):
         """Return the addresses of all engines of the service."""
-        return await self._listing.find(self._teller.engines)
+        return await self._listing.find(self._notice_sender.engine_digest)
 
     async def _move(self, model):
         """Order until each version wanted is there or skipped."""
@@ -269,12 +269,12 @@
             )
             settled = report.version_by_model.get(model, settled)
             self._loading.discard(model)
-            await self._teller.tell(self._notice(report))
+            await self._notice_sender.send(self._notice(report))
 
     def _ordered(self, model, report):
         """Tell that the engine loads, from what it said before."""
         self._loading.add(model)
-        self._keep_task(self._teller.tell(self._notice(report)))
+        self._keep_task(self._notice_sender.send(self._notice(report)))
 
     async def _wait_s(self, model):
         """Return how long to wait before a load, None for no load now."""
@@ -320,7 +320,9 @@
         trainer is late allows fewer versions behind the newest.
         """
         await asyncio.sleep(loading.SETTLE_S)
-        min_versions_by_model = await self._teller.tell(self._notice(report))
+        min_versions_by_model = await self._notice_sender.send(
+            self._notice(report)
+        )
         if model in min_versions_by_model:
             lag = max(0, wanted - min_versions_by_model[model])
             known = self._lags_by_model.get(model, lag)
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -58,7 +58,7 @@
             self.slot_sharing,
         )
         fleet.store.listen_regained(self.manager.save_soon)
-        self.notices = notices.Listener(
+        self.notices = notices.NoticeHandler(
             fleet.directory,
             self.manager.min_versions_by_model,
             notice_subscribers.NoticeSubscribers(
--- a/packages/gateway/anvilwell_gateway/listing.py
+++ b/packages/gateway/anvilwell_gateway/listing.py
@@ -49,16 +49,16 @@
         """How long ago the registrations were read."""
         return self._clock() - self._read_at
 
-    async def find(self, heard):
+    async def find(self, reported):
         """Return the addresses of all engines, none if they can't be read.
 
         Parameters
         ----------
-        heard : notices.Heard
+        heard : notices.EngineDigest
             What an entry told of them last.
         """
         async with self._reading:
-            if self.age_s < FRESH_S or self._holds(heard):
+            if self.age_s < FRESH_S or self._holds(reported):
                 return self.addresses
             return await self._read()
 
@@ -85,10 +85,10 @@
         self._digest = notices.digest(self.addresses)
         return self.addresses
 
-    def _holds(self, heard):
+    def _holds(self, reported):
         """Return whether an entry just told that the known ones hold."""
         return (
             len(self.addresses) > MANY_ENGINES
-            and heard.digest == self._digest
-            and self._clock() - heard.at < BELIEVED_S
+            and reported.digest == self._digest
+            and self._clock() - reported.received_at < BELIEVED_S
         )
--- a/packages/gateway/anvilwell_gateway/notices.py
+++ b/packages/gateway/anvilwell_gateway/notices.py
@@ -28,7 +28,7 @@
 MAX_ANSWER_BYTES = 64 << 10
 
 # No answer, or none that can be read.
-_UNANSWERED = (exceptions.BackendFailed, cbor2.CBORError, ValueError)
+_CALL_FAILURES = (exceptions.BackendFailed, cbor2.CBORError, ValueError)
 
 _LOG = logs.get_logger(__name__)
 
@@ -47,7 +47,7 @@
     started_ms: int = 0
 
 
-class Answer(typing.NamedTuple):
+class NoticeResponse(typing.NamedTuple):
     """What an entry answers to a notice.
 
     ``needs_by_model`` has the oldest version that the newest batch of a
@@ -58,18 +58,18 @@
 
     min_versions_by_model: dict[str, int]
     entries: tuple[str, ...] = ()
-    engines: int = 0
+    engines_digest: int = 0
 
 
-class Heard(typing.NamedTuple):
+class EngineDigest(typing.NamedTuple):
     """The newest digest of a service's engines, and when it came."""
 
     digest: int | None = None
-    at: float = float("-inf")
+    received_at: float = float("-inf")
 
 
 _NOTICE = pydantic.TypeAdapter(Notice)
-_ANSWER = pydantic.TypeAdapter(Answer)
+_RESPONSE = pydantic.TypeAdapter(NoticeResponse)
 
 
 def read(body):
@@ -89,7 +89,7 @@
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-class Listener:
+class NoticeHandler:
     """Takes notices.
 
     Parameters
@@ -115,7 +115,7 @@
         self._directory.note(notice)
         service = self._directory.service_at(notice.address)
         entries = tuple(self._notice_subscribers.find(service))
-        answer = Answer(
+        answer = NoticeResponse(
             self._min_versions_by_model(), entries, self._digest(service)
         )
         await responder.send(200, (), cbor2.dumps(answer))
@@ -135,7 +135,7 @@
             self._digests_by_service.clear()
 
 
-class Teller:
+class NoticeSender:
     """Sends notices to the entries that need them."""
 
     def __init__(self):
@@ -145,17 +145,17 @@
             is_probed=True,
             keep_s=server.FIRST_LIMITS.idle_timeout_s,
         )
-        self._audience = audience.Audience()
+        self._recipients = audience.Audience()
         self._addresses_by_vm = {}
         self._clock = asyncio.get_running_loop().time
-        self.engines = Heard()
+        self.engine_digest = EngineDigest()
 
     def set_entries(self, addresses_by_vm, ranked):
         """Take in where the entries are, and whom to ask first."""
         self._addresses_by_vm = addresses_by_vm
-        self._audience.set_entries(ranked)
+        self._recipients.set_entries(ranked)
 
-    async def tell(self, notice):
+    async def send(self, notice):
         """Tell those that need it; return what their newest batches need.
 
         Returns
@@ -164,53 +164,57 @@
             The oldest version that the newest batch of a model may be
             made under, by model; of the entries that answered.
         """
-        telling = self._audience.begin()
+        delivery = self._recipients.begin()
         min_versions_by_model = {}
-        await self._tell_each(
-            telling.first(),
-            telling,
+        await self._send_to_each(
+            delivery.first(),
+            delivery,
             cbor2.dumps(notice),
             min_versions_by_model,
         )
         return min_versions_by_model
 
-    async def _tell_each(self, vm_ids, telling, body, min_versions_by_model):
+    async def _send_to_each(
+        self, vm_ids, delivery, body, min_versions_by_model
+    ):
         """Tell these and whomever they name; note what batches need."""
         await asyncio.gather(
             *(
-                self._tell(vm_id, telling, body, min_versions_by_model)
+                self._send_to(vm_id, delivery, body, min_versions_by_model)
                 for vm_id in vm_ids
             )
         )
 
-    async def _tell(self, vm_id, telling, body, min_versions_by_model):
+    async def _send_to(self, vm_id, delivery, body, min_versions_by_model):
         answer = await self._ask(vm_id, body)
         if answer is None:
-            others = telling.failed(vm_id)
+            others = delivery.failed(vm_id)
         else:
-            others = telling.answered(vm_id, answer.entries)
-            self.engines = Heard(answer.engines, self._clock())
+            others = delivery.answered(vm_id, answer.entries)
+            self.engine_digest = EngineDigest(
+                answer.engines_digest, self._clock()
+            )
             for model, version in answer.min_versions_by_model.items():
                 known = min_versions_by_model.get(model, 0)
                 min_versions_by_model[model] = max(known, version)
-        await self._tell_each(others, telling, body, min_versions_by_model)
+        await self._send_to_each(others, delivery, body, min_versions_by_model)
 
     async def _ask(self, vm_id, body):
         """Return an entry's `Answer`, or None."""
         address = self._addresses_by_vm.get(vm_id)
         if address is None:
             return None
-        question = messages.Request(
+        request = messages.Request(
             "POST", TARGET, (("Host", str(address)),), body
         )
         try:
             reply, answer = await self._pool.ask(
-                vm_id, address, question, TIMEOUT_S, MAX_ANSWER_BYTES
+                vm_id, address, request, TIMEOUT_S, MAX_ANSWER_BYTES
             )
             if reply.status == 200:
-                return _ANSWER.validate_python(cbor2.loads(answer))
+                return _RESPONSE.validate_python(cbor2.loads(answer))
             cause = f"status {reply.status}"
-        except _UNANSWERED as error:
+        except _CALL_FAILURES as error:
             cause = repr(error)
         _LOG.routine("entry-not-told", entry=vm_id, cause=cause)
         return None
--- a/packages/gateway/anvilwell_gateway_standins/telling.py
+++ b/packages/gateway/anvilwell_gateway_standins/notice_strategies.py
@@ -29,7 +29,7 @@
 SIZE = len(cbor2.dumps(NOTICE))
 
 
-class Counted(typing.NamedTuple):
+class DeliveryCost(typing.NamedTuple):
     """What a way cost for each notice, and how late notices came."""
 
     messages: float
@@ -65,13 +65,13 @@
         near = [vm for vm in there if self.domains[vm] == domain]
         return [*choice.ranked("watch", near), *sorted(set(there) - {*near})]
 
-    def takes(self, vm, *made_at):
+    def record_receipt(self, vm, *made_at):
         """Have an entry learn notices."""
         if vm == self.home:
             now = self._loop.time()
             self.ages_s += [now - at for at in made_at]
 
-    async def carry(self, vm, size):
+    async def transmit(self, vm, size):
         """Carry one message to `vm`, or wait for ever."""
         self.messages += 1
         self.size += size + HEAD_BYTES
@@ -85,7 +85,7 @@
         """Carry a question and its answer, or fail as a timeout does."""
         try:
             async with asyncio.timeout(notices.TIMEOUT_S):
-                await self.carry(vm, size)
+                await self.transmit(vm, size)
                 self.messages += 1
                 self.size += HEAD_BYTES
                 await asyncio.sleep(HOP_S)
@@ -93,26 +93,26 @@
             raise exceptions.BackendFailed("no answer") from None
 
 
-class ToAll:
+class Broadcast:
     """Each agent tells all entries."""
 
     def __init__(self, world):
         self._world = world
 
-    async def tell(self, domain, made_at):
+    async def send(self, domain, made_at):
         """Tell of one notice."""
         everyone = self._world.ranked(domain)
-        await asyncio.gather(*(self._tell(vm, made_at) for vm in everyone))
+        await asyncio.gather(*(self._send_to(vm, made_at) for vm in everyone))
 
-    async def _tell(self, vm, made_at):
+    async def _send_to(self, vm, made_at):
         try:
             await self._world.ask(vm, SIZE)
         except exceptions.BackendFailed:
             return
-        self._world.takes(vm, made_at)
+        self._world.record_receipt(vm, made_at)
 
 
-class Passed:
+class Relayed:
     """The reader of a domain passes notices on, with what it tells."""
 
     coalesce_s = 0.05
@@ -121,7 +121,7 @@
         self._world = world
         self._made_by_reader = collections.defaultdict(list)
 
-    async def tell(self, domain, made_at):
+    async def send(self, domain, made_at):
         """Tell of one notice."""
         for reader in self._world.ranked(domain)[:3]:
             try:
@@ -151,7 +151,7 @@
             except exceptions.BackendFailed:
                 return
             reader = first
-        self._world.takes(reader, *made)
+        self._world.record_receipt(reader, *made)
         others = {vm for vm, at in self._world.domains.items() if at == domain}
         await asyncio.gather(
             *(self._answer(vm, made) for vm in others - {reader})
@@ -163,40 +163,40 @@
             await self._world.ask(vm, SIZE * len(made))
         except exceptions.BackendFailed:
             return
-        self._world.takes(vm, *made)
+        self._world.record_receipt(vm, *made)
 
 
-class Named:
+class NamedRecipients:
     """Agents tell whomever the answers named, by the real `Teller`s."""
 
     def __init__(self, world):
         self._world = world
-        self._tellers = collections.defaultdict(self._teller)
+        self._senders = collections.defaultdict(self._create_sender)
 
-    def _teller(self):
-        teller = notices.Teller()
-        teller._pool = self
-        return teller
+    def _create_sender(self):
+        sender = notices.NoticeSender()
+        sender._pool = self
+        return sender
 
-    async def tell(self, domain, made_at):
+    async def send(self, domain, made_at):
         """Tell of one notice."""
         ranked = self._world.ranked(domain)
         # One agent in a domain stands for all: each has its own in use.
-        teller = self._tellers[domain]
-        teller.set_entries(dict.fromkeys(self._world.vms, made_at), ranked)
-        await teller.tell(NOTICE)
+        sender = self._senders[domain]
+        sender.set_entries(dict.fromkeys(self._world.vms, made_at), ranked)
+        await sender.send(NOTICE)
 
     async def ask(self, vm_id, address, question, timeout_s, max_bytes):
         """Answer as an entry does."""
         await self._world.ask(vm_id, len(question.body))
-        self._world.takes(vm_id, address)
-        answer = notices.Answer({"model": 11}, (self._world.home,))
+        self._world.record_receipt(vm_id, address)
+        answer = notices.NoticeResponse({"model": 11}, (self._world.home,))
         body = cbor2.dumps(answer)
         self._world.size += len(body)
         return messages.Reply(200, ()), body
 
 
-async def play(way, entries, ends, agents=None, seconds=24.0):
+async def simulate(strategy, entries, ends, agents=None, seconds=24.0):
     """Return what a way cost, as `Counted`, when a reader ``ends`` midway.
 
     Parameters
@@ -210,15 +210,15 @@
     """
     rng = random.Random(7)
     world = World(entries)
-    teller = way(world)
+    sender = strategy(world)
     agents = agents or entries
     loop = asyncio.get_running_loop()
 
     async def agent(domain):
         await asyncio.sleep(rng.uniform(0.0, EVERY_S))
         while loop.time() < seconds:
-            telling.append(
-                asyncio.create_task(teller.tell(domain, loop.time()))
+            sending.append(
+                asyncio.create_task(sender.send(domain, loop.time()))
             )
             await asyncio.sleep(EVERY_S)
 
@@ -235,19 +235,19 @@
             del world.silent_at[reader]
             world.resumed.set()
 
-    telling = []
+    sending = []
     failing = [] if ends == "no" else [fail()]
     agents = [agent(DOMAINS[n % len(DOMAINS)]) for n in range(agents)]
     await asyncio.gather(*agents, *failing)
-    await asyncio.wait(telling, timeout=10.0)
-    for task in telling:
+    await asyncio.wait(sending, timeout=10.0)
+    for task in sending:
         task.cancel()
-    told = len(telling)
-    late = [REGISTERED_S] * (told - len(world.ages_s))
+    sent = len(sending)
+    late = [REGISTERED_S] * (sent - len(world.ages_s))
     ages_s = sorted(min(age, REGISTERED_S) for age in [*world.ages_s, *late])
-    return Counted(
-        round(world.messages / told, 1),
-        round(world.size / told),
-        round(ages_s[int(0.99 * told)], 4),
+    return DeliveryCost(
+        round(world.messages / sent, 1),
+        round(world.size / sent),
+        round(ages_s[int(0.99 * sent)], 4),
         round(ages_s[-1], 4),
     )
--- a/packages/gateway/tests/test_listing.py
+++ b/packages/gateway/tests/test_listing.py
@@ -47,12 +47,12 @@
     async def scenario():
         store, clock = _Store(engines), asyncio.get_running_loop().time
         known = listing.Listing(store, _Codec(), "lm")
-        addresses = await known.find(notices.Heard())
+        addresses = await known.find(notices.EngineDigest())
         await asyncio.sleep(listing.FRESH_S)
-        same = notices.Heard(notices.digest(addresses), clock())
+        same = notices.EngineDigest(notices.digest(addresses), clock())
         assert await known.find(same) == addresses
         await asyncio.sleep(listing.FRESH_S)
-        other = notices.Heard(same.digest + 1, clock())
+        other = notices.EngineDigest(same.digest + 1, clock())
         assert await known.find(other) == addresses
         await asyncio.sleep(listing.BELIEVED_S)
         assert await known.find(same) == addresses
@@ -66,7 +66,7 @@
         store = _Store(2)
         known = listing.Listing(store, _Codec(), "lm")
         for _ in range(3):
-            finds = (known.find(notices.Heard()) for _ in range(3))
+            finds = (known.find(notices.EngineDigest()) for _ in range(3))
             assert len(set(map(tuple, await asyncio.gather(*finds)))) == 1
             await asyncio.sleep(listing.FRESH_S)
         return store.reads
@@ -79,6 +79,6 @@
         store = _Store(2)
         store.is_away = True
         known = listing.Listing(store, _Codec(), "lm")
-        return await known.find(notices.Heard()), known.age_s
+        return await known.find(notices.EngineDigest()), known.age_s
 
     assert run_virtual(scenario()) == ([], float("inf"))
--- a/packages/gateway/tests/test_notices.py
+++ b/packages/gateway/tests/test_notices.py
@@ -10,7 +10,7 @@
 from anvilwell_gateway import directory as directories
 from anvilwell_gateway import live_keys
 from anvilwell_gateway import notices
-from anvilwell_gateway_standins import telling
+from anvilwell_gateway_standins import notice_strategies as strategies
 import cbor2
 import pytest
 
@@ -20,21 +20,27 @@
 @pytest.mark.parametrize("ends", ENDS)
 @pytest.mark.parametrize("entries", [20, 80])
 def test_a_notice_goes_to_those_that_need_it(run_virtual, entries, ends):
-    played = telling.play(telling.Named, entries, ends, 20, 12.0)
+    played = strategies.simulate(
+        strategies.NamedRecipients, entries, ends, 20, 12.0
+    )
     named = run_virtual(played)
 
     # The one that is asked and the one that runs batches.
     assert named.messages <= 4
     # One round trip, or two where the answer had to name it.
-    assert named.most_s <= 4.1 * telling.HOP_S
+    assert named.most_s <= 4.1 * strategies.HOP_S
 
 
 @pytest.mark.parametrize(
-    ("way", "messages", "p99_s"),
-    [(telling.ToAll, 30, 0.002), (telling.Passed, 30, 0.5)],
+    ("strategy", "messages", "p99_s"),
+    [(strategies.Broadcast, 30, 0.002), (strategies.Relayed, 30, 0.5)],
 )
-def test_other_ways_cost_more_or_come_later(run_virtual, way, messages, p99_s):
-    counted = run_virtual(telling.play(way, 20, "cut", seconds=12.0))
+def test_other_ways_cost_more_or_come_later(
+    run_virtual, strategy, messages, p99_s
+):
+    counted = run_virtual(
+        strategies.simulate(strategy, 20, "cut", seconds=12.0)
+    )
 
     assert counted.messages > messages
     assert counted.p99_s >= p99_s
@@ -110,7 +116,7 @@
 
 def test_an_answer_tells_which_engines_a_service_has():
     directory = _Directory()
-    listener = notices.Listener(
+    listener = notices.NoticeHandler(
         directory,
         lambda: {"m": 3},
         types.SimpleNamespace(find=lambda service: ["e1"]),
