--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -9,7 +9,7 @@
 from anvilwell_decisions.batches import loading
 from anvilwell_decisions.traffic import facts
 from anvilwell_gateway import claims
-from anvilwell_gateway import listing
+from anvilwell_gateway import engine_listing
 from anvilwell_gateway import measures
 from anvilwell_gateway import metrics_page
 from anvilwell_gateway import moving
@@ -91,7 +91,7 @@
         self._lags_by_model = {}
         # The models that other engines keep.
         self._left_out = set()
-        self._listing = listing.Listing(
+        self._listing = engine_listing.EngineListing(
             platform.store, platform.codec, settings.agent.service
         )
 
--- a/packages/gateway/anvilwell_gateway/listing.py
+++ b/packages/gateway/anvilwell_gateway/engine_listing.py
@@ -9,18 +9,18 @@
 
 # With more engines than these the registrations are read anew only where
 # no entry has just told that the known ones hold.
-MANY_ENGINES = 100
+LARGE_SERVICE_ENGINES = 100
 # What an entry told is believed for so long, in seconds. A trainer names
 # its next version within it.
-BELIEVED_S = 5.0
+REPORT_VALIDITY_S = 5.0
 # Registrations that were read so lately do for another model too, in seconds;
 # a stale read may be older.
-FRESH_S = 1.0
+MAX_READ_AGE_S = 1.0
 
 _LOG = logs.get_logger(__name__)
 
 
-class Listing:
+class EngineListing:
     """Keeps the addresses of a service's engines.
 
     Parameters
@@ -58,7 +58,7 @@
             What an entry told of them last.
         """
         async with self._reading:
-            if self.age_s < FRESH_S or self._holds(reported):
+            if self.age_s < MAX_READ_AGE_S or self._is_confirmed(reported):
                 return self.addresses
             return await self._read()
 
@@ -85,10 +85,10 @@
         self._digest = notices.digest(self.addresses)
         return self.addresses
 
-    def _holds(self, reported):
+    def _is_confirmed(self, reported):
         """Return whether an entry just told that the known ones hold."""
         return (
-            len(self.addresses) > MANY_ENGINES
+            len(self.addresses) > LARGE_SERVICE_ENGINES
             and reported.digest == self._digest
-            and self._clock() - reported.received_at < BELIEVED_S
+            and self._clock() - reported.received_at < REPORT_VALIDITY_S
         )
--- a/packages/gateway/tests/test_listing.py
+++ b/packages/gateway/tests/test_engine_listing.py
@@ -4,7 +4,7 @@
 import types
 
 from anvilwell_decisions.traffic import facts
-from anvilwell_gateway import listing
+from anvilwell_gateway import engine_listing
 from anvilwell_gateway import notices
 from anvilwell_kernel import exceptions
 from anvilwell_outside.ports import keyvalue
@@ -39,22 +39,25 @@
 
 @pytest.mark.parametrize(
     ("engines", "reads"),
-    [(listing.MANY_ENGINES, 4), (listing.MANY_ENGINES + 1, 3)],
+    [
+        (engine_listing.LARGE_SERVICE_ENGINES, 4),
+        (engine_listing.LARGE_SERVICE_ENGINES + 1, 3),
+    ],
 )
 def test_many_engines_are_read_again_only_for_a_cause(
     run_virtual, engines, reads
 ):
     async def scenario():
         store, clock = _Store(engines), asyncio.get_running_loop().time
-        known = listing.Listing(store, _Codec(), "lm")
+        known = engine_listing.EngineListing(store, _Codec(), "lm")
         addresses = await known.find(notices.EngineDigest())
-        await asyncio.sleep(listing.FRESH_S)
+        await asyncio.sleep(engine_listing.MAX_READ_AGE_S)
         same = notices.EngineDigest(notices.digest(addresses), clock())
         assert await known.find(same) == addresses
-        await asyncio.sleep(listing.FRESH_S)
+        await asyncio.sleep(engine_listing.MAX_READ_AGE_S)
         other = notices.EngineDigest(same.digest + 1, clock())
         assert await known.find(other) == addresses
-        await asyncio.sleep(listing.BELIEVED_S)
+        await asyncio.sleep(engine_listing.REPORT_VALIDITY_S)
         assert await known.find(same) == addresses
         return len(addresses), store.reads
 
@@ -64,11 +67,11 @@
 def test_what_was_read_just_now_is_not_read_again(run_virtual):
     async def scenario():
         store = _Store(2)
-        known = listing.Listing(store, _Codec(), "lm")
+        known = engine_listing.EngineListing(store, _Codec(), "lm")
         for _ in range(3):
             finds = (known.find(notices.EngineDigest()) for _ in range(3))
             assert len(set(map(tuple, await asyncio.gather(*finds)))) == 1
-            await asyncio.sleep(listing.FRESH_S)
+            await asyncio.sleep(engine_listing.MAX_READ_AGE_S)
         return store.reads
 
     assert run_virtual(scenario()) == 3
@@ -78,7 +81,7 @@
     async def scenario():
         store = _Store(2)
         store.is_away = True
-        known = listing.Listing(store, _Codec(), "lm")
+        known = engine_listing.EngineListing(store, _Codec(), "lm")
         return await known.find(notices.EngineDigest()), known.age_s
 
     assert run_virtual(scenario()) == ([], float("inf"))
