--- a/packages/gateway/anvilwell_gateway/admission.py
+++ b/packages/gateway/anvilwell_gateway/admission.py
@@ -5,8 +5,8 @@
 from anvilwell_kernel import reasons
 
 # A change of the configuration is in force within so long at an entry that
-# the store answers, in seconds; see `presence.VOUCH_S`. A key that was
-# taken away may be in use for this much longer than the last answer.
+# the store answers, in seconds; see `presence.MAX_ANSWER_AGE_S`. A key that
+# was taken away may be in use for this much longer than the last answer.
 MAX_CONFIGURATION_DELAY_S = 2.0
 
 
@@ -79,7 +79,7 @@
         try:
             return known.sender(keys, is_open)
         except exceptions.UnknownKey:
-            if not self._presence.may_vouch():
+            if not self._presence.can_confirm_ownership():
                 raise _uncertain("this VM may not know the key yet") from None
             raise
 
--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -215,7 +215,7 @@
         presence = self._presence
         return records.Owner(
             presence.vm_id,
-            presence.life,
+            presence.incarnation,
             len(submission.items),
             digest,
             submitted_at,
@@ -326,7 +326,7 @@
         if owner.vm_id == self._presence.vm_id:
             return 0.0
         is_replaced = owner.vm_id in self._news.lives_by_vm
-        return 0.0 if is_replaced else self._presence.grace_s()
+        return 0.0 if is_replaced else self._presence.takeover_grace_s()
 
     def _is_orphan(self, batch_id, owner, lives_by_vm):
         if batch_id in self._news.ended or batch_id in self._accepting:
@@ -366,7 +366,7 @@
             return False
         owner = claim.owner
         mine = owner._replace(
-            vm_id=self._presence.vm_id, incarnation=self._presence.life
+            vm_id=self._presence.vm_id, incarnation=self._presence.incarnation
         )
         try:
             claim = await self._store.claim(batch_id, claim, mine)
--- a/packages/gateway/anvilwell_gateway/batches/request_handler.py
+++ b/packages/gateway/anvilwell_gateway/batches/request_handler.py
@@ -49,7 +49,7 @@
         Asks the owners of others' batches.
     budget : byte_budget.ByteBudget
         What may be held for callers that read slowly.
-    may_vouch : callable
+    can_confirm_ownership : callable
         Return whether the store answered so lately that no other process
         can own what this one holds.
     """
@@ -63,7 +63,7 @@
         owners,
         owner_client,
         budget,
-        may_vouch,
+        can_confirm_ownership,
     ):
         self._store = batch_store
         self._manager = manager
@@ -71,7 +71,7 @@
         self._dialect = dialect
         self._owner_client = owner_client
         self._budget = budget
-        self._may_vouch = may_vouch
+        self._can_confirm_ownership = can_confirm_ownership
         self._owners = owners
         self._reader = readers.Reader(batch_store, dialect, owners)
 
@@ -208,7 +208,7 @@
             return False
         if self._owners.is_superseded(batch.batch_id, batch.claim):
             return False
-        return not batch.is_in_doubt and self._may_vouch()
+        return not batch.is_in_doubt and self._can_confirm_ownership()
 
     async def _stored_page(self, results_request, told):
         """Return the `passing.Page` from the store, or None.
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -92,7 +92,7 @@
             self._owners,
             self.owner_client,
             budget,
-            self._may_vouch,
+            self._can_confirm_ownership,
         )
         self._beginning = None
 
@@ -158,11 +158,11 @@
             route, submission_request, responder
         )
 
-    def _may_vouch(self):
+    def _can_confirm_ownership(self):
         """Return whether no other process can own what this one holds.
 
         Under a lease that has lapsed others could take it over.
         """
         presence = self._fleet.presence
         knows_owners = self._owners.loaded_at > presence.lapsed_at
-        return knows_owners and presence.may_vouch()
+        return knows_owners and presence.can_confirm_ownership()
--- a/packages/gateway/anvilwell_gateway/duties/telling.py
+++ b/packages/gateway/anvilwell_gateway/duties/telling.py
@@ -139,7 +139,7 @@
         self._tally.forget(now - self._keep_s)
         told = usage.Told(
             self._presence.vm_id,
-            self._presence.life,
+            self._presence.incarnation,
             self._number,
             self._wall_time(),
             self._started_at + self._offset_s,
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -43,9 +43,11 @@
         self.store.listen_regained(self.presence.renew_soon)
         self.paths = platform.paths
         self.neighbours = neighbours.Neighbours(
-            daemon.vm_id, daemon.failure_domain, self.presence.is_answered
+            daemon.vm_id,
+            daemon.failure_domain,
+            self.presence.has_answered_recently,
         )
-        self.feeds = feeds.Feeds(self.presence.may_vouch)
+        self.feeds = feeds.Feeds(self.presence.can_confirm_ownership)
         self.news = news.News(
             self.store, self.presence, self.paths, self.neighbours
         )
--- a/packages/gateway/anvilwell_gateway/neighbours.py
+++ b/packages/gateway/anvilwell_gateway/neighbours.py
@@ -166,7 +166,7 @@
         This VM.
     failure_domain : str
         Where it is; entries there are asked, if there are any.
-    is_answered : callable
+    has_answered_recently : callable
         Whether the store answered this process after it had left an
         entry that is out of touch unanswered. If not, that entry is asked
         on: the store is away for both.
@@ -175,10 +175,12 @@
         that is asked that the engine's agent is there.
     """
 
-    def __init__(self, vm_id, failure_domain, is_answered, engine=""):
+    def __init__(
+        self, vm_id, failure_domain, has_answered_recently, engine=""
+    ):
         self._vm_id = vm_id
         self._failure_domain = failure_domain
-        self._is_answered = is_answered
+        self._has_answered_recently = has_answered_recently
         self._engine = engine
         self._clock = asyncio.get_running_loop().time
         self._pool = client.Pool(self._clock, is_probed=True)
@@ -276,7 +278,7 @@
 
     def _may_reconnect(self, now):
         """Return whether an entry that is out of touch is waited for."""
-        if not self._is_answered():
+        if not self._has_answered_recently():
             self._disconnected_since = float("-inf")
             return True
         if now - self._disconnected_since > NEW_OUTAGE_S:
--- a/packages/gateway/anvilwell_gateway/news.py
+++ b/packages/gateway/anvilwell_gateway/news.py
@@ -141,7 +141,7 @@
     def _tell(self, lost, ended):
         if self._presence.vm_id in lost:
             mine = self.lives_by_vm.get(self._presence.vm_id)
-            if mine != self._presence.life:
+            if mine != self._presence.incarnation:
                 self._presence.key_lost()
         for callback in self._listeners:
             callback(lost, ended)
--- a/packages/gateway/anvilwell_gateway/presence.py
+++ b/packages/gateway/anvilwell_gateway/presence.py
@@ -20,21 +20,21 @@
 # After a renewal that failed, in seconds.
 RETRY_S = 0.1
 # Without an answer for so long, the store counts as away.
-AWAY_S = 1.5
+OUT_OF_TOUCH_S = 1.5
 # Without one for so long, an entry does not vouch for what it tells others.
 # With the 0.2 s between its looks and a read of the store itself, a change
 # is in force there within two seconds all the same.
-VOUCH_S = 1.2
+MAX_ANSWER_AGE_S = 1.2
 # An answer that is newer than this came after the last one that an entry
 # got which no longer vouches: all renew in the same step.
-ANSWERED_S = VOUCH_S - RENEW_S
+RECENT_ANSWER_S = MAX_ANSWER_AGE_S - RENEW_S
 
 _LOG = logs.get_logger(__name__)
 # After an outage so long the leases of those that live may have lapsed.
-OUTAGE_S = TTL_S - RENEW_S
+LONG_OUTAGE_S = TTL_S - RENEW_S
 # Processes are back in touch within so long of each other, in seconds: a
 # call that hangs takes up to a second, a look at the direct path as well.
-RETURN_S = 1.0
+REREGISTRATION_S = 1.0
 
 
 class Presence:
@@ -68,20 +68,20 @@
         self._failure_domain = failure_domain
         self._task = None
         self._lease = 0
-        self._granted = 0
-        self._granted_at = 0.0
+        self._pending_lease = 0
+        self._pending_since = 0.0
         self._session = sessions.Session(TTL_S)
         self._answered_at = float("-inf")
         # Whether the store has answered at all, and when after an outage.
-        self._is_known = False
-        self._back_at = float("-inf")
+        self._has_answered = False
+        self._regained_at = float("-inf")
         # Others may have taken over what this process held until then.
         self.lapsed_at = float("-inf")
         self._rewrite = asyncio.Event()
         self._has_failed = False
         self._peers = ""
         self.vm_id = vm_id
-        self.life = uuid.uuid4().hex
+        self.incarnation = uuid.uuid4().hex
 
     def start(self, peers):
         """Begin to register and renew; `peers` is where others ask us."""
@@ -114,15 +114,15 @@
 
     def is_in_touch(self):
         """Return whether the store answered lately."""
-        return self.answer_age_s() < AWAY_S
+        return self.answer_age_s() < OUT_OF_TOUCH_S
 
-    def is_answered(self):
+    def has_answered_recently(self):
         """Return whether the store answers, though not a silent entry."""
-        return self.answer_age_s() < ANSWERED_S
+        return self.answer_age_s() < RECENT_ANSWER_S
 
-    def may_vouch(self):
+    def can_confirm_ownership(self):
         """Return whether the store answered so lately that nothing is old."""
-        return self.answer_age_s() < VOUCH_S
+        return self.answer_age_s() < MAX_ANSWER_AGE_S
 
     def answer_age_s(self):
         """Return how long ago the store answered, in seconds."""
@@ -140,25 +140,25 @@
         if self.answer_age_s() > RENEW_S:
             self._rewrite.set()
 
-    def grace_s(self):
+    def takeover_grace_s(self):
         """Return for how long others may still be cut off, in seconds.
 
         After an outage that let leases lapse each process registers again
         once the store answers it. Until then it looks like a dead one.
         """
-        if not self._is_known:
+        if not self._has_answered:
             return 0.0
-        if self.answer_age_s() >= OUTAGE_S:
-            return RETURN_S
+        if self.answer_age_s() >= LONG_OUTAGE_S:
+            return REREGISTRATION_S
         now = asyncio.get_running_loop().time()
-        return max(0.0, self._back_at + RETURN_S - now)
+        return max(0.0, self._regained_at + REREGISTRATION_S - now)
 
     def key_lost(self):
         """Note that the live key is gone; it is written again."""
-        self._lapsed()
+        self._mark_lapsed()
         self._rewrite.set()
 
-    def _lapsed(self):
+    def _mark_lapsed(self):
         """Note that others may have taken over what goes with the lease.
 
         A watch that hangs would not tell of it, so all is read anew from the
@@ -192,9 +192,9 @@
                 pass
 
     def _note_answer(self, now):
-        if self._is_known and now - self._answered_at >= OUTAGE_S:
-            self._back_at = now
-        self._is_known = True
+        if self._has_answered and now - self._answered_at >= LONG_OUTAGE_S:
+            self._regained_at = now
+        self._has_answered = True
         self._answered_at = now
 
     async def _renew(self):
@@ -203,37 +203,37 @@
         if self._lease and await self._store.keep_alive(self._lease):
             self._session.renewed(self._lease, sent_at, TTL_S)
             return
-        self._lapsed()
-        if not self._granted:
+        self._mark_lapsed()
+        if not self._pending_lease:
             if self._has_failed:
                 # A tenth of a grant's price, while the store is away.
                 await self._store.ping()
-            self._granted_at = clock()
-            self._granted = await self._store.grant(TTL_S)
+            self._pending_since = clock()
+            self._pending_lease = await self._store.grant(TTL_S)
         key = f"{live_keys.PREFIX}{self.vm_id}"
         entry = await self._store.get(key)
-        if entry is None or entry.lease != self._granted:
+        if entry is None or entry.lease != self._pending_lease:
             await self._write(key, entry.revision if entry else 0)
         # Both the write that landed and one whose answer was lost.
-        self._lease = self._granted
-        self._session.granted(self._lease, self._granted_at)
-        self._granted = 0
+        self._lease = self._pending_lease
+        self._session.granted(self._lease, self._pending_since)
+        self._pending_lease = 0
         _LOG.log("registered", lease=self._lease)
 
     async def _write(self, key, revision):
         live = live_keys.Live(
-            self.life,
+            self.incarnation,
             self._peers,
             self._failure_domain,
             self._capacity,
             self._link_mbps,
         )
         value = cbor2.dumps(live)
-        swap = keyvalue.Swap(key, revision, value, self._granted)
+        swap = keyvalue.Swap(key, revision, value, self._pending_lease)
         try:
             result = await self._store.swap([swap])
         except exceptions.NotFound:
-            self._granted = 0
+            self._pending_lease = 0
             raise
         if not result.landed:
             raise exceptions.KeyValueUnavailable("the live key has changed")
--- a/packages/gateway/tests/duties/duty_world.py
+++ b/packages/gateway/tests/duties/duty_world.py
@@ -318,7 +318,7 @@
         now = wall_time()
         return usage.Told(
             self.vm_id,
-            self.presence.life,
+            self.presence.incarnation,
             self.told_times,
             now,
             self.started_at + EPOCH_S,
--- a/packages/gateway/tests/test_outages.py
+++ b/packages/gateway/tests/test_outages.py
@@ -102,24 +102,24 @@
         presence = presences.Presence(store, "vm")
         store.listen_regained(presence.renew_soon)
         loop = asyncio.get_running_loop()
-        graces = [presence.grace_s()]
+        graces = [presence.takeover_grace_s()]
         presence.start("a:1")
         await asyncio.sleep(1.0)
-        graces.append(presence.grace_s())
+        graces.append(presence.takeover_grace_s())
         store.is_silent = True
         await asyncio.sleep(6.0)
-        graces.append(presence.grace_s())
+        graces.append(presence.takeover_grace_s())
         back_at = loop.time()
         store.back()
         await asyncio.sleep(0.01)
         assert store.calls[-1] == ("keep", back_at)
-        graces.append(presence.grace_s())
-        await asyncio.sleep(presences.RETURN_S)
-        graces.append(presence.grace_s())
+        graces.append(presence.takeover_grace_s())
+        await asyncio.sleep(presences.REREGISTRATION_S)
+        graces.append(presence.takeover_grace_s())
         presence._task.cancel()
         return graces
 
     never, before, silent, back, after = run_virtual(scenario())
     assert (never, before, after) == (0.0, 0.0, 0.0)
-    assert silent == presences.RETURN_S
-    assert back == pytest.approx(presences.RETURN_S, abs=0.02)
+    assert silent == presences.REREGISTRATION_S
+    assert back == pytest.approx(presences.REREGISTRATION_S, abs=0.02)
--- a/packages/gateway/tests/test_suspended.py
+++ b/packages/gateway/tests/test_suspended.py
@@ -85,10 +85,14 @@
     async def scenario():
         mine = presence.Presence(_Store(), "entry-1")
         mine.start("10.0.0.1:80")
-        await _until(mine.may_vouch)
+        await _until(mine.can_confirm_ownership)
         boot_clock.suspend()
-        at_once = (mine.may_vouch(), mine.is_in_touch(), mine.is_answered())
-        await _until(mine.may_vouch)
+        at_once = (
+            mine.can_confirm_ownership(),
+            mine.is_in_touch(),
+            mine.has_answered_recently(),
+        )
+        await _until(mine.can_confirm_ownership)
         await mine.stop()
         return at_once
 
