--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -97,18 +97,20 @@
         self._beginning = None
 
     @classmethod
-    def from_config(cls, platform, fleet, live_calls, pool, peering, budget):
-        """Return an entry's batches; peers ask for them by `peering`."""
+    def from_config(
+        cls, platform, fleet, live_calls, pool, peer_server, budget
+    ):
+        """Return an entry's batches; peers ask for them by `peer_server`."""
         batches = cls(platform, fleet, live_calls, pool, budget)
-        peering.handle(submission_forwarding.TARGET, batches.take)
-        peering.handle(
+        peer_server.handle(submission_forwarding.TARGET, batches.take)
+        peer_server.handle(
             owner_client.TARGET, batches.request_handler.answer_peer
         )
-        peering.handle(
+        peer_server.handle(
             owner_client.END_TARGET, batches.request_handler.end_for_peer
         )
-        peering.handle(slot_sharing.TARGET, batches.slot_sharing.answer)
-        peering.handle(notices.TARGET, batches.notices.answer)
+        peer_server.handle(slot_sharing.TARGET, batches.slot_sharing.answer)
+        peer_server.handle(notices.TARGET, batches.notices.answer)
         return batches
 
     def start(self):
--- a/packages/gateway/anvilwell_gateway/catching_up.py
+++ b/packages/gateway/anvilwell_gateway/crash_sync.py
@@ -21,10 +21,10 @@
 TARGET = "/ends/known"
 # Every entry is told of every end, so one would do; a second one covers for
 # one that was cut off, or has just started itself.
-ENOUGH = 2
+ENTRIES_TO_ASK = 2
 LIMITS = bodies.Limits(timeout_s=0.5, max_bytes=1 << 20)
 # Requests in one answer, those with the most ends first.
-MOST_KNOWN = 4096
+MAX_REQUESTS = 4096
 
 
 _KNOWN = pydantic.TypeAdapter(tuple[quarantines.KnownCrashes, ...])
@@ -32,7 +32,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class CatchUp:
+class CrashSync:
     """Learns what a few other entries know.
 
     Parameters
@@ -41,38 +41,38 @@
         This VM, which is not asked.
     news : news.News
         The entries that live, and where.
-    take : callable
+    apply : callable
         Takes each `quarantine.KnownCrashes`.
     """
 
-    def __init__(self, vm_id, news, take):
+    def __init__(self, vm_id, news, apply):
         self._vm_id = vm_id
         self._news = news
-        self._take = take
+        self._apply = apply
         self._pool = client.Pool(asyncio.get_running_loop().time)
         self._answered = set()
         self._task = None
 
     def entries_changed(self):
         """Ask the entries that are known now, until enough have answered."""
-        if len(self._answered) < ENOUGH and self._task is None:
-            self._task = asyncio.create_task(self._ask_on())
+        if len(self._answered) < ENTRIES_TO_ASK and self._task is None:
+            self._task = asyncio.create_task(self._ask_until_enough())
 
-    async def _ask_on(self):
+    async def _ask_until_enough(self):
         """Ask one after another; wait for news if all have answered."""
         try:
             for wait_s in crash_notifier.retry_delays_s():
-                for vm_id in self._unasked():
+                for vm_id in self._choose_entries():
                     await self._ask(vm_id)
-                if not self._unasked():
+                if not self._choose_entries():
                     return
                 await asyncio.sleep(wait_s)
         finally:
             self._task = None
 
-    def _unasked(self):
+    def _choose_entries(self):
         """Return some entries to ask, none once enough have answered."""
-        missing = ENOUGH - len(self._answered)
+        missing = ENTRIES_TO_ASK - len(self._answered)
         unasked = set(self._news.addresses_by_vm).difference(
             self._answered, (self._vm_id,)
         )
@@ -92,7 +92,7 @@
             return
         self._answered.add(vm_id)
         for one in known:
-            self._take(one)
+            self._apply(one)
 
     async def stop(self):
         """Ask no more."""
--- a/packages/gateway/anvilwell_gateway/crash_tracker.py
+++ b/packages/gateway/anvilwell_gateway/crash_tracker.py
@@ -15,8 +15,8 @@
 import pydantic
 
 from anvilwell_decisions.requests import quarantine as quarantines
-from anvilwell_gateway import catching_up
 from anvilwell_gateway import crash_notifier
+from anvilwell_gateway import crash_sync
 from anvilwell_gateway.http import client
 from anvilwell_gateway import measures
 from anvilwell_gateway import news
@@ -29,7 +29,7 @@
 
 PREFIX = f"{news.PREFIX}crashes/"
 # Other entries tell and ask under these targets.
-TARGETS = frozenset((crash_notifier.TARGET, catching_up.TARGET, trials.TARGET))
+TARGETS = frozenset((crash_notifier.TARGET, crash_sync.TARGET, trials.TARGET))
 # A replica whose process has ended refuses a connection within a round
 # trip, a millisecond or two. A VM that is silent tells nothing in time.
 CRASH_CHECK_WAIT_S = 0.1
@@ -70,7 +70,9 @@
         self._loop = asyncio.get_running_loop()
         self._quarantine = quarantines.Quarantine()
         self._notifier = crash_notifier.CrashNotifier(vm_id, peers)
-        self._catch_up = catching_up.CatchUp(vm_id, peers, self._learn_known)
+        self._crash_sync = crash_sync.CrashSync(
+            vm_id, peers, self._learn_known
+        )
         self._trials = trials.Trials(vm_id, peers, self._quarantine)
         self._unwritten_by_replica = {}
         self._written_by_replica = {}
@@ -84,14 +86,14 @@
     async def stop(self):
         """Tell no more."""
         await self._notifier.stop()
-        await self._catch_up.stop()
+        await self._crash_sync.stop()
         await self._trials.stop()
         await tasks.stop(self._writer_task, *self._checks)
 
     def entries_changed(self):
         """Tell and ask the entries that were heard of since."""
         self._notifier.entries_changed()
-        self._catch_up.entries_changed()
+        self._crash_sync.entries_changed()
 
     def gauge_values(self):
         """Return how many requests are held back."""
@@ -189,9 +191,9 @@
             wait_s = self._trials.decide(trials.read(request.body))
             await responder.send(200, (), cbor2.dumps(wait_s))
             return
-        if request.path == catching_up.TARGET:
+        if request.path == crash_sync.TARGET:
             known = self._quarantine.known_crashes(self._loop.time())
-            most = known[: catching_up.MOST_KNOWN]
+            most = known[: crash_sync.MAX_REQUESTS]
             await responder.send(200, (), cbor2.dumps(most))
             return
         for crash in crash_notifier.read(request.body):
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -12,7 +12,7 @@
 from anvilwell_gateway import live_calls as live
 from anvilwell_gateway import measures
 from anvilwell_gateway import metrics_page
-from anvilwell_gateway import peering as peerings
+from anvilwell_gateway import peer_server as peer_servers
 from anvilwell_gateway import standing_in
 from anvilwell_kernel.telemetry import logs
 
@@ -45,17 +45,21 @@
         self._budget = byte_budget.ByteBudget.from_memory(
             settings.daemon.memory_mb
         )
-        self.peering = peerings.Peering(settings.entry.peers, self._budget)
-        self.fleet = fleets.Fleet.from_config(settings, platform, self.peering)
+        self.peer_server = peer_servers.PeerServer(
+            settings.entry.peers, self._budget
+        )
+        self.fleet = fleets.Fleet.from_config(
+            settings, platform, self.peer_server
+        )
         self.live_calls = live.LiveCalls.from_config(
-            settings, platform, self.fleet, self._pool, self.peering
+            settings, platform, self.fleet, self._pool, self.peer_server
         )
         self._batches = batch_service.Batches.from_config(
             platform,
             self.fleet,
             self.live_calls,
             self._pool,
-            self.peering,
+            self.peer_server,
             self._budget,
         )
         self.frontend = frontends.Frontend(
@@ -130,7 +134,7 @@
     @property
     def peer_address(self):
         """Where other VMs ask this one for help."""
-        return self.peering.address
+        return self.peer_server.address
 
     @property
     def lives_by_vm(self):
@@ -152,7 +156,7 @@
         for problem in self._early.problems:
             _LOG.log("listens-late", cause=problem)
         await self.frontend.start()
-        await self.peering.start()
+        await self.peer_server.start()
         await self._metrics.start()
         self.fleet.start(self.peer_address)
         self._stand_in.start()
@@ -181,14 +185,14 @@
     async def _finish_peers(self):
         try:
             async with asyncio.timeout(PEERS_S):
-                await self.peering.finish()
+                await self.peer_server.finish()
         except TimeoutError:
-            await self.peering.cut()
+            await self.peer_server.abort()
 
     async def cut(self):
         """Answer what is under way at the end of the drain's limit."""
         await asyncio.gather(
-            self.frontend.abort_requests(), self.peering.cut()
+            self.frontend.abort_requests(), self.peer_server.abort()
         )
 
     async def stop(self):
@@ -198,7 +202,7 @@
         await self.live_calls.stop()
         await self._batches.stop()
         await self.frontend.stop()
-        await self.peering.stop()
+        await self.peer_server.stop()
         await self._metrics.stop()
         await self.fleet.close()
         self._pool.close()
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -64,11 +64,11 @@
         ]
 
     @classmethod
-    def from_config(cls, settings, platform, peering):
-        """Return what the settings ask for; peers ask it by `peering`."""
+    def from_config(cls, settings, platform, peer_server):
+        """Return what the settings ask for; peers ask it by `peer_server`."""
         fleet = cls(settings, platform)
-        peering.handle(feeds.TARGET, fleet.feeds.answer)
-        peering.handle(
+        peer_server.handle(feeds.TARGET, fleet.feeds.answer)
+        peer_server.handle(
             paths.RELAY_TARGET, paths.Relay(fleet.paths.direct).answer
         )
         return fleet
--- a/packages/gateway/anvilwell_gateway/live_calls.py
+++ b/packages/gateway/anvilwell_gateway/live_calls.py
@@ -49,12 +49,12 @@
         )
 
     @classmethod
-    def from_config(cls, settings, platform, fleet, pool, peering):
-        """Return what the settings ask for; peers tell it by `peering`."""
+    def from_config(cls, settings, platform, fleet, pool, peer_server):
+        """Return what the settings ask for; peers tell it by `peer_server`."""
         live_calls = cls(settings, platform, fleet, pool)
-        peering.handle(reports.TARGET, live_calls.usage.answer)
+        peer_server.handle(reports.TARGET, live_calls.usage.answer)
         for target in crash_tracker.TARGETS:
-            peering.handle(target, live_calls.crash_tracker.answer)
+            peer_server.handle(target, live_calls.crash_tracker.answer)
         return live_calls
 
     async def answer(self, route, call, request, responder):
--- a/packages/gateway/anvilwell_gateway/peering.py
+++ b/packages/gateway/anvilwell_gateway/peer_server.py
@@ -10,7 +10,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Peering:
+class PeerServer:
     """Answers peers by the part of this entry that each target names.
 
     Parameters
@@ -47,7 +47,7 @@
         """Take nothing new, and answer what peers have sent."""
         await self._server.finish()
 
-    async def cut(self):
+    async def abort(self):
         """Answer what is under way now, without a promise."""
         await self._aborter.abort()
 
--- a/packages/gateway/anvilwell_gateway/retirement.py
+++ b/packages/gateway/anvilwell_gateway/retirement.py
@@ -54,7 +54,7 @@
     async def _write(self, key):
         peers = sorted({*self._news.lives_by_vm, self._vm_id})
         await asyncio.sleep(RANK_DELAY_S * peers.index(self._vm_id))
-        note_key, value = self._codec.retired_note(key)
+        note_key, value = self._codec.retirement_entry(key)
         try:
             if await self._store.get(note_key) is not None:
                 return
--- a/packages/gateway/anvilwell_gateway/entries.py
+++ b/packages/gateway/anvilwell_gateway/store_codec.py
@@ -3,7 +3,7 @@
 import abc
 
 
-class EntryCodec(abc.ABC):
+class StoreCodec(abc.ABC):
     """Names and decodes what the platform writes into its store."""
 
     configuration_key = ""
@@ -58,5 +58,5 @@
         """
 
     @abc.abstractmethod
-    def retired_note(self, key):
+    def retirement_entry(self, key):
         """Return key and value that say a storage VM is empty."""
--- a/packages/gateway/tests/test_catching_up.py
+++ b/packages/gateway/tests/test_crash_sync.py
@@ -6,8 +6,8 @@
 import cbor2
 
 from anvilwell_decisions.requests import quarantine as quarantines
-from anvilwell_gateway import catching_up
 from anvilwell_gateway import crash_notifier
+from anvilwell_gateway import crash_sync
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import messages
 
@@ -35,33 +35,33 @@
 def test_enough_entries_are_asked_until_they_answer(run_virtual, monkeypatch):
     """One that knew nothing let a request end what others had held back."""
     pool = _Pool()
-    monkeypatch.setattr(catching_up.client, "Pool", lambda *_: pool)
+    monkeypatch.setattr(crash_sync.client, "Pool", lambda *_: pool)
     entries = {f"entry-{number}": f"a:{number}" for number in range(9)}
     news = types.SimpleNamespace(addresses_by_vm={"entry-0": "a:0"})
-    taken = []
+    applied = []
 
     async def scenario():
-        catch_up = catching_up.CatchUp("entry-0", news, taken.append)
-        catch_up.entries_changed()
+        sync = crash_sync.CrashSync("entry-0", news, applied.append)
+        sync.entries_changed()
         await asyncio.sleep(60.0)
         assert not pool.asked
         news.addresses_by_vm = entries
         pool.silent = set(entries)
-        catch_up.entries_changed()
+        sync.entries_changed()
         await asyncio.sleep(60.0)
-        assert not taken
+        assert not applied
         pool.silent = set()
         await asyncio.sleep(crash_notifier.RETRY_DELAYS_S[-1] + 0.1)
-        assert taken == [KNOWN] * catching_up.ENOUGH
+        assert applied == [KNOWN] * crash_sync.ENTRIES_TO_ASK
         asked = len(pool.asked)
         rounds = (
             len(crash_notifier.RETRY_DELAYS_S)
             + 65.0 / crash_notifier.RETRY_DELAYS_S[-1]
         )
-        assert asked <= catching_up.ENOUGH * rounds
-        catch_up.entries_changed()
+        assert asked <= crash_sync.ENTRIES_TO_ASK * rounds
+        sync.entries_changed()
         await asyncio.sleep(60.0)
         assert len(pool.asked) == asked
-        await catch_up.stop()
+        await sync.stop()
 
     run_virtual(scenario())
