--- a/packages/decisions/anvilwell_decisions/requests/claims.py
+++ b/packages/decisions/anvilwell_decisions/requests/claims.py
@@ -115,6 +115,9 @@
 class ClaimTracker:
     """Tracks the claims of one entry.
 
+    Its methods return the actions that the entry has to carry out, in order:
+    `Write`, `Forward`, `Replay` and `Reject`.
+
     Parameters
     ----------
     owner : str
--- a/packages/decisions/tests/requests/conftest.py
+++ b/packages/decisions/tests/requests/conftest.py
@@ -1,4 +1,4 @@
-"""Lets the tests import their helpers by name."""
+"""Makes helper modules of this folder importable by the tests."""
 
 import pathlib
 import sys
--- a/packages/decisions/tests/requests/overload_simulation.py
+++ b/packages/decisions/tests/requests/overload_simulation.py
@@ -1,8 +1,8 @@
-"""Calls of many organisations on a service that is short of places.
+"""Simulates calls of many organisations to an overloaded service.
 
-Virtual time; each entry keeps shares of its own and knows nothing of the
-others, but for what a replica's answers tell. A caller that is refused
-comes back once.
+Time is virtual. Each entry keeps its own shares and learns about the load of
+other entries only from the replicas' responses. A refused caller returns
+once.
 """
 
 import collections
@@ -17,7 +17,7 @@
 
 RETRY_AFTER_S = 0.25
 CALLER_RETRIES = 1
-# Replicas that one call may be sent to.
+# Maximum number of replicas that one call is sent to.
 MAX_REPLICAS = 3
 HOP_S = 0.001
 CONTENTION = 2.5
@@ -25,7 +25,7 @@
 
 
 class UnlimitedShares:
-    """What stands where no shares are kept: whoever comes is let in."""
+    """Stands in for `FairShares` and admits every call."""
 
     total = 0
 
@@ -40,7 +40,7 @@
 
 
 class ConstantRetryAfter:
-    """What stands where returns are not spread: all wait for as long."""
+    """Stands in for `RetrySchedule`; all delays are the same."""
 
     def answered(self, now):
         pass
@@ -50,11 +50,12 @@
 
 
 class Workload(typing.NamedTuple):
-    """A service, its entries and the calls a second by organisation.
+    """A service, its entries and the call rate of each organisation.
 
-    ``paces`` are the replicas' times for the same work, in turn. While
-    `is_contended`, work takes `CONTENTION` times as long at one replica in
-    seven, for `SPELL_S` at a time.
+    ``duration_factors`` are the durations of the same work at the replicas, in
+    turn, as multiples of ``work_s``. If ``is_contended``, work takes
+    `CONTENTION` times as long at a replica in one of seven periods of
+    `SLOWDOWN_S` seconds, chosen at random.
     """
 
     rates_by_organisation: dict
@@ -67,59 +68,63 @@
     seconds: float = 15.0
     weights_by_organisation: typing.Mapping = types.MappingProxyType({})
     limit_s: float = 2.0
-    paces: tuple = (1.0,)
+    duration_factors: tuple = (1.0,)
     is_contended: bool = False
 
     @property
     def capacity_per_s(self):
-        """Calls a second that the replicas can do."""
-        speeds = itertools.cycle(1 / pace for pace in self.paces)
+        """Calls per second that the replicas can serve."""
+        speeds = itertools.cycle(
+            1 / duration_factor for duration_factor in self.duration_factors
+        )
         total = sum(itertools.islice(speeds, self.replicas))
         return total * self.slots / self.work_s
 
     def contention(self, replica, now):
-        """Return how long work takes at a replica now, 1.0 as usual."""
-        spell = random.Random(f"{replica}/{now // SLOWDOWN_S}").random()
-        is_busy = self.is_contended and spell < 1 / 7
-        return CONTENTION if is_busy else 1.0
+        """Return the contention of a replica, 1.0 if there is none."""
+        draw = random.Random(f"{replica}/{now // SLOWDOWN_S}").random()
+        is_slowed = self.is_contended and draw < 1 / 7
+        return CONTENTION if is_slowed else 1.0
 
 
 class Call:
-    """One call, or its caller's second try."""
+    """A call, or its caller's second attempt."""
 
     def __init__(self, organisation, entry, began_at, tries):
         self.organisation = organisation
         self.entry = entry
         self.began_at = began_at
         self.tries = tries
-        # When its caller first came.
+        # When the caller made its first attempt.
         self.first_sent_at = began_at
         self.sent_at = began_at
         self.tried = []
 
 
 class Simulation:
-    """Plays a load; counts what became of the calls by organisation."""
+    """Runs a workload and counts the results by organisation."""
 
     def __init__(
         self,
-        load,
+        workload,
         make_shares,
         seed=1,
         make_policy=routing.LeastOutstanding,
         make_schedule=ConstantRetryAfter,
     ):
-        self._workload = load
+        self._workload = workload
         self._make_policy = make_policy
         self._rng = random.Random(seed)
         self._events = []
         self._order = itertools.count()
         self.now = 0.0
-        self.shares = [make_shares() for _ in range(load.entries)]
-        self._policies = [self._policy(seed + i) for i in range(load.entries)]
-        self._schedules = [make_schedule() for _ in range(load.entries)]
-        self._running = [0] * load.replicas
-        self._waiting = [collections.deque() for _ in range(load.replicas)]
+        self.shares = [make_shares() for _ in range(workload.entries)]
+        self._policies = [
+            self._policy(seed + i) for i in range(workload.entries)
+        ]
+        self._schedules = [make_schedule() for _ in range(workload.entries)]
+        self._running = [0] * workload.replicas
+        self._waiting = [collections.deque() for _ in range(workload.replicas)]
         self.sent = collections.Counter()
         self.answered = collections.Counter()
         self.in_time = collections.Counter()
@@ -137,7 +142,7 @@
         heapq.heappush(self._events, event)
 
     def run(self):
-        """Play the whole load; return self."""
+        """Run the whole workload; return self."""
         for (
             organisation,
             rate,
@@ -151,7 +156,10 @@
         return self
 
     def share(self, counts, prefix):
-        """Return the part of the calls of some organisations in `counts`."""
+        """Return `counts` of some organisations as a share of their calls.
+
+        The organisations are those whose names start with `prefix`.
+        """
         names = [name for name in self.sent if name.startswith(prefix)]
         return sum(counts[name] for name in names) / sum(
             self.sent[name] for name in names
@@ -195,7 +203,7 @@
             self.refused[call.organisation] += 1
 
     def _send(self, call):
-        """Ask the next replica."""
+        """Send a call to the next replica."""
         policy = self._policies[call.entry]
         request = facts.RequestFacts("r", excluded=frozenset(call.tried))
         chosen = None
@@ -222,10 +230,14 @@
 
     def _run(self, replica, call):
         self._running[replica] += 1
-        load = self._workload
-        work_s = self._rng.expovariate(1 / load.work_s)
-        pace = load.paces[replica % len(load.paces)]
-        duration_s = work_s * pace * load.contention(replica, self.now)
+        workload = self._workload
+        work_s = self._rng.expovariate(1 / workload.work_s)
+        duration_factor = workload.duration_factors[
+            replica % len(workload.duration_factors)
+        ]
+        duration_s = (
+            work_s * duration_factor * workload.contention(replica, self.now)
+        )
         self._schedule_in(duration_s, self._done, replica, call)
 
     def _done(self, replica, call):
--- a/packages/decisions/tests/requests/test_admission.py
+++ b/packages/decisions/tests/requests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: live first, bounded, and never late to refuse."""
+"""Admission prefers live requests, bounds queues and refuses in time."""
 
 import hypothesis
 from hypothesis import stateful
@@ -17,7 +17,7 @@
 
 
 class Invariants(stateful.RuleBasedStateMachine):
-    """Offers and ends in any order, against the model's own record."""
+    """Offers, completions and cancellations in any order, with a model."""
 
     def __init__(self):
         super().__init__()
@@ -30,7 +30,7 @@
     def _apply(self, action):
         ticket_id = action.ticket_id
         old = self.states.get(ticket_id)
-        assert old in (None, "queued"), "a second answer"
+        assert old in (None, "queued"), "ticket was answered twice"
         if isinstance(action, admission.Admit):
             self._check_admit(self.tickets[ticket_id])
             self.states[ticket_id] = "running"
@@ -51,7 +51,7 @@
                 for t, state in self.states.items()
                 if state == "queued" and self.tickets[t].priority is LIVE
             ]
-            assert not waiting, "training before live"
+            assert not waiting, "training was admitted before live"
 
     @stateful.rule(
         priority=st.sampled_from(tuple(facts.Priority)),
@@ -92,7 +92,7 @@
             for t, state in self.states.items()
             if state == "queued" and self.tickets[t].deadline < self.now
         ]
-        assert not overdue, "refused late"
+        assert not overdue, "a queued ticket is past its deadline"
 
     @stateful.rule()
     def drain(self):
@@ -116,7 +116,7 @@
 
     @stateful.invariant()
     def live_waits_only_at_the_limit(self):
-        """Live never waits while there is room at the server."""
+        """Live requests are queued only while the server is full."""
         running = sum(s == "running" for s in self.states.values())
         assert self.admission.in_flight == running
         live_waits = any(
--- a/packages/decisions/tests/requests/test_byte_budget.py
+++ b/packages/decisions/tests/requests/test_byte_budget.py
@@ -1,6 +1,7 @@
-"""Callers that read slowly do not take a VM's memory.
+"""Slow readers do not use up the memory of a VM.
 
-The load: two hundred trainers that ask for long pages and read none.
+Guards against an entry that runs out of memory when 200 trainers request
+long pages of results and read none of them.
 """
 
 from anvilwell_decisions.requests import byte_budget
@@ -15,7 +16,7 @@
     budget = byte_budget.ByteBudget.from_memory(SMALL_VM_MB)
     pages = []
     for _ in range(READERS):
-        # One result at least, however little is left.
+        # A page has at least one result, even if nothing is free.
         pages.append(max(RESULT_BYTES, budget.page_bytes(PAGE_BYTES)))
         budget.hold(pages[-1])
 
--- a/packages/decisions/tests/requests/test_claims.py
+++ b/packages/decisions/tests/requests/test_claims.py
@@ -1,4 +1,4 @@
-"""At most one execution for each key, whatever is lost or late."""
+"""Each key is executed at most once, even if writes are lost or delayed."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 class Store:
-    """A linearizable store; what lands late lands as a swap."""
+    """A linearizable store; delayed writes are also conditional."""
 
     def __init__(self):
         self.stored_by_key = {}
@@ -51,7 +51,7 @@
 
 
 class Request:
-    """What the model knows of one request of a caller."""
+    """The model's record of one request of a caller."""
 
     def __init__(self, key, digest):
         self.key = key
@@ -61,7 +61,7 @@
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Entries, a faulty store, and a backend server that records."""
+    """Entries, a faulty store and a backend server that counts executions."""
 
     def __init__(self):
         super().__init__()
@@ -162,7 +162,10 @@
 
     @stateful.rule(entry=st.sampled_from(ENTRIES))
     def crash(self, entry):
-        """A new incarnation knows nothing; the old one's forward may go."""
+        """Start a new incarnation of an entry, without any state.
+
+        A request that the old incarnation forwarded may still be executed.
+        """
         self._boot(entry)
 
     @stateful.rule(seconds=st.sampled_from((0.5, 2.0, 10.0)))
--- a/packages/decisions/tests/requests/test_ejection.py
+++ b/packages/decisions/tests/requests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection never empties the set."""
+"""Ejection removes failing replicas but never all of them."""
 
 import random
 
--- a/packages/decisions/tests/requests/test_expected_latency.py
+++ b/packages/decisions/tests/requests/test_expected_latency.py
@@ -1,7 +1,7 @@
-"""Live calls go where they are expected to end first.
+"""Live calls go to the replica with the least expected latency.
 
-The load: some entries before three replicas of unequal speed, whose
-machines are contended for moments.
+The workload is a number of entries and three replicas of unequal speed, whose
+machines are contended for short periods.
 """
 
 import random
@@ -16,7 +16,11 @@
 from anvilwell_decisions.requests import service_times
 
 UNEVEN = simulations.Workload(
-    {}, entries=20, paces=(0.7, 0.7, 1.7), is_contended=True, seconds=8.0
+    {},
+    entries=20,
+    duration_factors=(0.7, 0.7, 1.7),
+    is_contended=True,
+    seconds=8.0,
 )
 REPLICAS = ("r0", "r1", "r2")
 WORK_S = 0.04
@@ -24,12 +28,15 @@
 
 def _mean_duration_s(make_policy, share):
     rates = {"callers": share * UNEVEN.capacity_per_s}
-    load = UNEVEN._replace(rates_by_organisation=rates)
+    workload = UNEVEN._replace(rates_by_organisation=rates)
     durations_s = [
         duration_s
         for seed in range(4)
         for duration_s in simulations.Simulation(
-            load, simulations.UnlimitedShares, seed, make_policy=make_policy
+            workload,
+            simulations.UnlimitedShares,
+            seed,
+            make_policy=make_policy,
         )
         .run()
         .durations_s
@@ -48,7 +55,7 @@
 
 
 class SingleEntry:
-    """One entry that sends one call after another."""
+    """An entry that sends one call after another."""
 
     def __init__(self, works_by_id, contentions_by_id=None):
         self.policy = expected_latency.LeastExpectedLatency(random.Random(1))
@@ -59,7 +66,7 @@
             self.policy.replica_up(facts.ReplicaFacts(replica_id), self.now)
 
     def send(self, calls):
-        """Return to which replica each of the calls went."""
+        """Send `calls` calls; return the replica of each."""
         return [self._send() for _ in range(calls)]
 
     def _send(self):
@@ -96,7 +103,7 @@
     entry.policy.report(facts.LoadReport("r0", 0, 0, 6, 2.5), entry.now)
 
     assert "r0" not in entry.send(5)
-    # The moment is over, though nobody said so.
+    # The report has expired, without a newer one.
     assert "r0" in entry.send(40)
 
 
--- a/packages/decisions/tests/requests/test_fair_shares.py
+++ b/packages/decisions/tests/requests/test_fair_shares.py
@@ -1,9 +1,8 @@
-"""No organisation gets less than its share because another sends more.
+"""An organisation's share does not shrink because another one sends more.
 
-Without shares a service that is short of places answers whoever asks most
-often: with three organisations that send four times what the replicas can
-do, sixty that send a tenth of it together got 24 to 29% of their calls
-answered.
+Guards against an overloaded service that serves whoever sends most: with
+three organisations that send four times the service's capacity, sixty others
+that together send a tenth of it got only 24 to 29% of their calls answered.
 """
 
 import overload_simulation as simulations
@@ -15,59 +14,64 @@
 LARGE, SMALL = "large", "small"
 
 
-def _workload(large, small=0.1, entries=3, larges=3, smalls=60):
-    """Return a load in parts of what the replicas can do."""
+def _make_workload(large, small=0.1, entries=3, large_count=3, small_count=60):
+    """Return a workload; `large` and `small` are shares of the capacity."""
     capacity_per_s = simulations.Workload({}).capacity_per_s
     rates = {
-        f"{LARGE}-{i}": large * capacity_per_s / larges for i in range(larges)
+        f"{LARGE}-{i}": large * capacity_per_s / large_count
+        for i in range(large_count)
     }
     rates |= {
-        f"{SMALL}-{i}": small * capacity_per_s / 60 for i in range(smalls)
+        f"{SMALL}-{i}": small * capacity_per_s / 60 for i in range(small_count)
     }
     return simulations.Workload(rates, entries=entries)
 
 
-def _run_workload(load, make_shares=fair_shares.FairShares):
-    return simulations.Simulation(load, make_shares).run()
+def _run_workload(workload, make_shares=fair_shares.FairShares):
+    return simulations.Simulation(workload, make_shares).run()
 
 
 @pytest.mark.parametrize("entries", [1, 3, 17])
 @pytest.mark.parametrize("large", [1.5, 4.0])
 def test_small_organisations_are_answered_beside_large_ones(large, entries):
-    finished = _run_workload(_workload(large, entries=entries))
+    finished = _run_workload(_make_workload(large, entries=entries))
 
-    # Each asks for a tenth of its share, so all of it is owed.
+    # Each sends a tenth of its fair share, so all should be answered.
     assert finished.share(finished.answered, SMALL) > 0.95
 
 
 @pytest.mark.parametrize("entries", [1, 3, 17])
 def test_shares_cost_no_throughput(entries):
-    load = _workload(4.0, entries=entries)
-    without = _run_workload(load, simulations.UnlimitedShares).answered.total()
+    workload = _make_workload(4.0, entries=entries)
+    without = _run_workload(
+        workload, simulations.UnlimitedShares
+    ).answered.total()
 
-    assert _run_workload(load).answered.total() > 0.97 * without
+    assert _run_workload(workload).answered.total() > 0.97 * without
 
 
 def test_large_organisations_get_equal_shares():
-    load = _workload(4.0)
-    rates = dict(load.rates_by_organisation)
+    workload = _make_workload(4.0)
+    rates = dict(workload.rates_by_organisation)
     rates[f"{LARGE}-0"] *= 3
 
-    finished = _run_workload(load._replace(rates_by_organisation=rates))
+    finished = _run_workload(workload._replace(rates_by_organisation=rates))
 
     parts = [finished.answered[f"{LARGE}-{i}"] for i in range(3)]
     assert max(parts) < 1.25 * min(parts)
 
 
 def test_single_organisation_gets_all_capacity():
-    load = _workload(4.0, larges=1, smalls=0)
-    without = _run_workload(load, simulations.UnlimitedShares).answered.total()
+    workload = _make_workload(4.0, large_count=1, small_count=0)
+    without = _run_workload(
+        workload, simulations.UnlimitedShares
+    ).answered.total()
 
-    assert _run_workload(load).answered.total() > 0.97 * without
+    assert _run_workload(workload).answered.total() > 0.97 * without
 
 
 def test_no_limit_while_capacity_suffices():
-    finished = _run_workload(_workload(0.5))
+    finished = _run_workload(_make_workload(0.5))
 
     assert not finished.refused
     assert all(fair.limit is None for fair in finished.shares)
@@ -118,7 +122,7 @@
 
 
 def _overloaded(organisations):
-    """Return the shares of a service that just became short."""
+    """Return the shares of a service that has just become overloaded."""
     fair = fair_shares.FairShares()
     for organisation in organisations:
         fair.begin(organisation, 0.0)
@@ -135,12 +139,12 @@
         name: priority_weights.weight(priority, 0)
         for priority, name in enumerate(("first", "second", "third"))
     }
-    load = simulations.Workload(
+    workload = simulations.Workload(
         dict.fromkeys(weights, capacity_per_s),
         entries=entries,
         weights_by_organisation=weights,
     )
-    finished = simulations.Simulation(load, fair_shares.FairShares).run()
+    finished = simulations.Simulation(workload, fair_shares.FairShares).run()
 
     first, second, third = (
         finished.answered[name] / finished.sent[name] for name in weights
--- a/packages/decisions/tests/requests/test_fingerprints.py
+++ b/packages/decisions/tests/requests/test_fingerprints.py
@@ -1,3 +1,5 @@
+"""Fingerprints are equal for equal requests only."""
+
 import hypothesis
 from hypothesis import strategies
 
--- a/packages/decisions/tests/requests/test_grants.py
+++ b/packages/decisions/tests/requests/test_grants.py
@@ -1,4 +1,4 @@
-"""A team's rate holds over all entries, whatever is lost."""
+"""A team's rate limit holds across entries, even if messages are lost."""
 
 import hypothesis
 from hypothesis import stateful
@@ -11,7 +11,7 @@
 
 
 class Rates(stateful.RuleBasedStateMachine):
-    """Demands and grants that are lost, late, doubled or reordered."""
+    """Demands and grants that are lost, late, duplicated or reordered."""
 
     def __init__(self):
         super().__init__()
@@ -61,7 +61,11 @@
 
     @stateful.rule(entry=st.sampled_from(ENTRIES))
     def crash(self, entry):
-        """An answer belongs to a request of the process that asked."""
+        """Restart an entry.
+
+        A grant is the response to a request of one process, so responses to
+        the old process are lost with it.
+        """
         self.rates[entry] = grants.TeamRate("t", entry)
         self.demands = [d for d in self.demands if d[0].entry_id != entry]
         self.answers = [a for a in self.answers if a[0].entry_id != entry]
--- a/packages/decisions/tests/requests/test_priority_weights.py
+++ b/packages/decisions/tests/requests/test_priority_weights.py
@@ -1,4 +1,4 @@
-"""Priorities weigh, and no rank is left with nothing."""
+"""Weights fall with the priority's rank, down to a minimum."""
 
 import pytest
 
--- a/packages/decisions/tests/requests/test_quarantine.py
+++ b/packages/decisions/tests/requests/test_quarantine.py
@@ -1,8 +1,8 @@
-"""Which requests are held back, and that bystanders are not.
+"""Requests that crash replicas are held back, and bystanders are not.
 
-Load that it answers: one request in a few hundred ends each replica that
-runs it, and comes again several times a second, by any entry; each time
-what else the replica ran is cut with it.
+Guards against a fault in which one request in a few hundred crashes each
+replica that runs it, and is repeated several times per second through any
+entry. Each crash also cuts the other requests that the replica was running.
 """
 
 import random
@@ -128,11 +128,12 @@
 def test_bad_request_crashes_few_replicas_and_bystanders_are_served(
     seed, entries
 ):
-    """Play a service of three replicas that are back after 3 s.
+    """Simulate a service of three replicas that restart within 3 s.
 
-    What one entry learns reaches the others 0.3 s later. The bad request
-    comes three times a second, sound ones five times; each is tried at two
-    replicas and by whatever entry. Each end cuts another bystander.
+    Crashes seen by one entry reach the others 0.3 s later. The bad request is
+    sent about three times per second and sound ones about five times, each
+    through a random entry and to at most two replicas. Each crash also cuts a
+    different sound request.
     """
     simulation = _Simulation(random.Random(seed), entries)
     for step in range(400):
@@ -143,7 +144,7 @@
 
 
 class _Simulation:
-    """A service and its entries in steps of time."""
+    """A service and its entries, simulated in time steps."""
 
     def __init__(self, rng, entries):
         self.rng = rng
--- a/packages/decisions/tests/requests/test_retries.py
+++ b/packages/decisions/tests/requests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: only where the verdict allows, and within the budget."""
+"""Retries are made only if the verdict and the budget allow them."""
 
 import itertools
 import random
--- a/packages/decisions/tests/requests/test_retry_after.py
+++ b/packages/decisions/tests/requests/test_retry_after.py
@@ -1,7 +1,7 @@
-"""Callers that are refused together do not come back together.
+"""Callers that are refused together do not return together.
 
-The load: a few hundred calls within a few hundredths of a second, on a
-service that does 480 a second and holds 90.
+The workload is a burst of a few hundred calls within some hundredths of a
+second, on a service that serves 480 calls per second and holds 90.
 """
 
 import overload_simulation as simulations
@@ -9,15 +9,15 @@
 
 from anvilwell_decisions.requests import retry_after
 
-BURST = "pulse"
+BURST = "burst"
 
 
 def _answered(make_schedule, entries, calls):
-    """Return the part of a pulse of calls that is answered."""
-    load = simulations.Workload({}, entries=entries, seconds=4.0)
-    others = {"others": 0.4 * load.capacity_per_s}
+    """Return the share of a burst of calls that is answered."""
+    workload = simulations.Workload({}, entries=entries, seconds=4.0)
+    others = {"others": 0.4 * workload.capacity_per_s}
     simulation = simulations.Simulation(
-        load._replace(rates_by_organisation=others),
+        workload._replace(rates_by_organisation=others),
         simulations.UnlimitedShares,
         make_schedule=make_schedule,
     )
--- a/packages/decisions/tests/requests/test_routing.py
+++ b/packages/decisions/tests/requests/test_routing.py
@@ -1,4 +1,4 @@
-"""Policies: constraints, exclusion, spread and affinity."""
+"""Routing policies: constraints, exclusion, balance and affinity."""
 
 import collections
 import random
--- a/packages/decisions/tests/requests/test_server_loads.py
+++ b/packages/decisions/tests/requests/test_server_loads.py
@@ -1,4 +1,4 @@
-"""What a replica tells holds for some time: slots long, moments not."""
+"""Reported loads expire: contention soon, counts later, slots never."""
 
 import pytest
 
--- a/packages/decisions/tests/requests/test_subsets.py
+++ b/packages/decisions/tests/requests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets: bounded, near first, stable."""
+"""Subsets are bounded, prefer the local domain and change little."""
 
 import collections
 import random
--- a/packages/decisions/tests/requests/test_trials.py
+++ b/packages/decisions/tests/requests/test_trials.py
@@ -1,4 +1,4 @@
-"""One trial of a request at a time, and none that lasts for ever."""
+"""Only one trial of a request runs at a time, and each one expires."""
 
 from anvilwell_decisions.requests import trials
 
--- a/packages/decisions/tests/requests/test_verdicts.py
+++ b/packages/decisions/tests/requests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""The design note holds the verdict table as the code has it."""
+"""The design page lists the verdict table exactly as in the code."""
 
 import pathlib
 
