--- a/packages/gateway/anvilwell_gateway/attempts.py
+++ b/packages/gateway/anvilwell_gateway/attempts.py
@@ -21,9 +21,9 @@
 # Time kept for the answer's way back, in seconds.
 RETURN_MARGIN_S = 0.005
 # Statuses from here on say that the replica failed the request.
-FAILED = 500
+FIRST_FAILURE_STATUS = 500
 # The replica that was chosen got nothing.
-_UNREACHED = frozenset(
+_NOT_REACHED_REASONS = frozenset(
     (reasons.Refusal.CONNECT_FAILED, reasons.Refusal.OTHER_REPLICA)
 )
 _RETRIES_BY_REFUSAL = {
@@ -36,7 +36,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Held(typing.NamedTuple):
+class BufferedResponse(typing.NamedTuple):
     """A whole answer of a replica."""
 
     status: int
@@ -66,18 +66,18 @@
         self._request = request
         self._service = table.choose_service(route, random)
         self._loop = asyncio.get_running_loop()
-        self._limit_s, self._limiter = _limit(route, call)
+        self._limit_s, self._limit_source = _limit(route, call)
         self._deadline = request.received_at + self._limit_s
         self._verdict = verdicts.Verdict.NOT_RUN
         self._last_error = None
         # The answer of a replica that failed the request itself: passed
         # on if no other replica does better.
         self._failure = None
-        self._unreached = 0
+        self._not_reached = 0
         self._is_counted = False
         # How long other entries hold the request back, in seconds.
-        self._refused_s = 0.0
-        self.tried = []
+        self._trial_wait_s = 0.0
+        self.tried_replica_ids = []
         # How many replicas answered 500: they ran the request and failed.
         self.failures = 0
 
@@ -96,7 +96,7 @@
         return self._route.priority
 
     @property
-    def left_s(self):
+    def remaining_s(self):
         """How long the caller may still wait, in seconds."""
         return max(0.0, self._deadline - self._loop.time())
 
@@ -111,7 +111,7 @@
         return messages.fingerprint(self._request)
 
     async def run(self):
-        """Return the `Held` answer.
+        """Return the `BufferedResponse` answer.
 
         Raises
         ------
@@ -137,10 +137,10 @@
     def _timed_out(self, what):
         """Return the error that says `what` did not come in time."""
         verdict = self._verdict
-        if self.tried:
+        if self.tried_replica_ids:
             verdict = verdicts.Verdict.MAY_HAVE_RUN
         return exceptions.Timeout(
-            f"no whole {what} in {self._limit_s:g} s, {self._limiter}",
+            f"no whole {what} in {self._limit_s:g} s, {self._limit_source}",
             verdict=verdict,
         )
 
@@ -148,7 +148,7 @@
         """Ask replicas until one has answered whole."""
         while True:
             if not tasks and not self._start(tasks):
-                return self._last_resort()
+                return self._final_response()
             done, _ = await asyncio.wait(
                 tasks,
                 timeout=self._hedge_s(tasks),
@@ -159,21 +159,21 @@
                 continue
             for task in done:
                 tasks.discard(task)
-                held = self._take(task)
-                if held:
-                    return held
+                response = self._accept_result(task)
+                if response:
+                    return response
 
     @property
-    def _sent(self):
+    def _sent_count(self):
         """How many replicas the request was sent to, or is being sent to.
 
         One that took no connection, or has ended and left its address to
         another, was sent nothing.
         """
-        return len(self.tried) - self._unreached
+        return len(self.tried_replica_ids) - self._not_reached
 
     def _hedge_s(self, tasks):
-        may_more = self._sent < self._route.max_replicas
+        may_more = self._sent_count < self._route.max_replicas
         if not self._route.is_idempotent or not may_more or len(tasks) > 1:
             return None
         if self._is_suspect:
@@ -191,8 +191,8 @@
         """How long no replica may get this request, in seconds."""
         tracker = self._forwarder.crash_tracker
         if tracker.is_empty:
-            return self._refused_s
-        return max(self._refused_s, tracker.wait_s(self.fingerprint))
+            return self._trial_wait_s
+        return max(self._trial_wait_s, tracker.wait_s(self.fingerprint))
 
     @contextlib.asynccontextmanager
     async def _trial(self):
@@ -201,7 +201,7 @@
         if tracker.is_empty:
             yield
             return
-        async with tracker.trial(self.fingerprint) as self._refused_s:
+        async with tracker.trial(self.fingerprint) as self._trial_wait_s:
             yield
 
     def _start(self, tasks):
@@ -226,22 +226,25 @@
 
     def _choose(self, is_hedge=False):
         """Return the next replica to ask, None if there may be no more."""
-        if self._sent >= self._route.max_replicas or not self._may_repeat:
+        if (
+            self._sent_count >= self._route.max_replicas
+            or not self._may_repeat
+        ):
             return None
         if self._held_back_s:
             return None
         wanted = request_facts.RequestFacts(
-            self._call.request_id, excluded=frozenset(self.tried)
+            self._call.request_id, excluded=frozenset(self.tried_replica_ids)
         )
         policy = self._forwarder.policy(self._service)
         replica_id = policy.choose(wanted, self._loop.time())
         replica = replica_id and self._forwarder.replica(replica_id)
         if not replica:
             return None
-        if self.tried:
+        if self.tried_replica_ids:
             reason = self._retry_reason(is_hedge)
             counters.count_retry(reason, self._service)
-        self.tried.append(replica_id)
+        self.tried_replica_ids.append(replica_id)
         return replica
 
     async def _attempt(self, replica):
@@ -260,31 +263,31 @@
             tracker.answered(self.fingerprint)
         return answer
 
-    def _begun(self, at):
+    def _count_start(self, at):
         """Count the caller's request, once, as begun at loop time `at`.
 
         Our own requests, as those for scores, are no use of a caller's.
         """
         if self._request.caller and not self._is_counted:
             self._is_counted = True
-            self._forwarder.count_begun(self.organisation, at)
+            self._forwarder.count_start(self.organisation, at)
 
     async def _ask(self, replica):
-        """Return the `Held` answer of one replica."""
-        started_at = self._started(replica)
+        """Return the `BufferedResponse` answer of one replica."""
+        started_at = self._record_start(replica)
         failed = True
-        held = None
+        response = None
         verdict = verdicts.Verdict.MAY_HAVE_RUN
         try:
-            held = await self._forwarder.send(
+            response = await self._forwarder.fetch_response(
                 replica,
                 self._route,
                 self._call,
                 self._request,
                 self._deadline - started_at,
             )
-            failed = held.status >= FAILED
-            return held
+            failed = response.status >= FIRST_FAILURE_STATUS
+            return response
         except exceptions.AnvilwellError as error:
             verdict = error.verdict
             raise
@@ -295,17 +298,17 @@
             raise
         finally:
             if verdict is not verdicts.Verdict.NOT_RUN:
-                self._begun(started_at)
-            self._ended(replica, started_at, failed, held is not None)
+                self._count_start(started_at)
+            self._record_end(replica, started_at, failed, response is not None)
 
-    def _started(self, replica):
+    def _record_start(self, replica):
         """Tell the policy of an attempt; return when that was."""
         now = self._loop.time()
         policy = self._forwarder.policy(self._service)
         policy.started(replica.replica_id, now)
         return now
 
-    def _ended(self, replica, started_at, failed, is_answer=False):
+    def _record_end(self, replica, started_at, failed, is_answer=False):
         """Tell the policy how an attempt ended."""
         now = self._loop.time()
         policy = self._forwarder.policy(self._service)
@@ -317,29 +320,29 @@
             now,
         )
 
-    def _take(self, task):
+    def _accept_result(self, task):
         """Return the answer of an attempt that is over, if it counts."""
         error = task.exception()
         replica_id = task.get_name()
         if error is not None:
-            self._note(error, replica_id)
+            self._record_failure(error, replica_id)
             return None
-        held = task.result()
-        return held if self._counts(held, replica_id) else None
+        response = task.result()
+        return response if self._is_final(response, replica_id) else None
 
-    def _counts(self, held, replica_id):
+    def _is_final(self, response, replica_id):
         """Return whether an answer is passed on at once.
 
         A replica's own failure is only where the request may not be
         repeated; else another replica may do better.
         """
-        if held.status < FAILED or not self._is_repeatable:
+        if response.status < FIRST_FAILURE_STATUS or not self._is_repeatable:
             return True
-        self._failure = held
-        self.failures += held.status == FAILED
-        self._note(
+        self._failure = response
+        self.failures += response.status == FIRST_FAILURE_STATUS
+        self._record_failure(
             exceptions.BackendFailed(
-                f"the replica answered {held.status}",
+                f"the replica answered {response.status}",
                 reason=reasons.Refusal.BACKEND_FAILED,
                 verdict=verdicts.Verdict.RAN,
             ),
@@ -355,11 +358,11 @@
             self._last_error.reason, reasons.Retry.BACKEND_FAILED
         )
 
-    def _note(self, error, replica_id):
+    def _record_failure(self, error, replica_id):
         if not isinstance(error, exceptions.AnvilwellError):
             raise error
         self._last_error = error
-        self._unreached += error.reason in _UNREACHED
+        self._not_reached += error.reason in _NOT_REACHED_REASONS
         self._verdict = verdicts.combine(self._verdict, error.verdict)
         _LOG.log(
             "attempt-failed",
@@ -372,7 +375,7 @@
             cause=error.message,
         )
 
-    def _last_resort(self):
+    def _final_response(self):
         """Return a replica's own failure, or raise why there is none."""
         if self._failure:
             return self._failure
--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -295,14 +295,16 @@
         return (
             claim is not None
             and not self.is_draining
-            and self._is_orphan(batch_id, claim.owner, self._news.lives_by_vm)
+            and self._is_orphan(
+                batch_id, claim.owner, self._news.incarnations_by_vm
+            )
         )
 
     async def _take_over(self, batch_id):
         """Take a batch once it is our turn, unless its owner lives."""
         try:
             owner = self._owners.claims_by_id[batch_id].owner
-            rank = self._rank(batch_id, owner, self._news.lives_by_vm)
+            rank = self._rank(batch_id, owner, self._news.incarnations_by_vm)
             await asyncio.sleep(self._grace_s(owner) + RANK_DELAY_S * rank)
             while self._may_be_orphan(batch_id):
                 try:
@@ -325,24 +327,24 @@
         """
         if owner.vm_id == self._presence.vm_id:
             return 0.0
-        is_replaced = owner.vm_id in self._news.lives_by_vm
+        is_replaced = owner.vm_id in self._news.incarnations_by_vm
         return 0.0 if is_replaced else self._presence.takeover_grace_s()
 
-    def _is_orphan(self, batch_id, owner, lives_by_vm):
+    def _is_orphan(self, batch_id, owner, incarnations_by_vm):
         if batch_id in self._news.ended or batch_id in self._accepting:
             return False
         if owner.vm_id == self._presence.vm_id:
             # Also if it is this life's: a write that was given up may
             # land late, and only this process can know of it.
             return batch_id not in self._manager.batches_by_id
-        return lives_by_vm.get(owner.vm_id) != owner.incarnation
+        return incarnations_by_vm.get(owner.vm_id) != owner.incarnation
 
-    def _rank(self, batch_id, owner, lives_by_vm):
+    def _rank(self, batch_id, owner, incarnations_by_vm):
         """Return how many live processes should try before this one."""
         mine = self._presence.vm_id
         if owner.vm_id == mine:
             return 0
-        others = set(lives_by_vm) | {mine}
+        others = set(incarnations_by_vm) | {mine}
         home = self._homes.find(owner.service, owner.model)
         ranked = sorted(
             others,
@@ -359,10 +361,10 @@
         # In this order: whoever owned the batch at the first read and is
         # not there at the second is gone.
         claim = await self._store.owner(batch_id)
-        lives_by_vm = await self._news.read_lives()
+        incarnations_by_vm = await self._news.read_lives()
         if claim is None:
             return True
-        if not self._is_orphan(batch_id, claim.owner, lives_by_vm):
+        if not self._is_orphan(batch_id, claim.owner, incarnations_by_vm):
             return False
         owner = claim.owner
         mine = owner._replace(
--- a/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
+++ b/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
@@ -45,7 +45,7 @@
 
     def _look(self):
         """Return the VMs that need notices, as vms_by_service."""
-        lives_by_vm = self._news.lives_by_vm
+        incarnations_by_vm = self._news.incarnations_by_vm
         current = self._configuration.current
         routes = current.routes if current else ()
         gathered = {
@@ -57,7 +57,8 @@
         pairs |= {
             (claim.owner.service, claim.owner.vm_id)
             for claim in self._owners.claims_by_id.values()
-            if lives_by_vm.get(claim.owner.vm_id) == claim.owner.incarnation
+            if incarnations_by_vm.get(claim.owner.vm_id)
+            == claim.owner.incarnation
         }
         vms_by_service = {}
         for name, vm_id in pairs:
--- a/packages/gateway/anvilwell_gateway/batches/owner_client.py
+++ b/packages/gateway/anvilwell_gateway/batches/owner_client.py
@@ -16,8 +16,8 @@
 import pydantic
 
 from anvilwell_decisions.traffic import facts
-from anvilwell_gateway import bodies
 from anvilwell_gateway.http import client
+from anvilwell_gateway import peer_calls
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
@@ -65,7 +65,7 @@
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_RESULTS_REQUEST, body, "question for results")
+    return peer_calls.decode(_RESULTS_REQUEST, body, "question for results")
 
 
 def read_end(body):
@@ -76,7 +76,7 @@
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_BATCH_ID, body, "id of a batch")
+    return peer_calls.decode(_BATCH_ID, body, "id of a batch")
 
 
 class OwnerClient:
@@ -146,13 +146,13 @@
 
     async def _send(self, vm_id, target, content, timeout_s):
         """Return the body of a VM's answer."""
-        return await bodies.ask(
+        return await peer_calls.call(
             self._pool,
             vm_id,
             self._news.addresses_by_vm[vm_id],
             target,
             content,
-            bodies.Limits(timeout_s, MAX_ANSWER_BYTES),
+            peer_calls.CallLimits(timeout_s, MAX_ANSWER_BYTES),
         )
 
     def _owner(self, batch_id):
@@ -161,7 +161,9 @@
         if claim is None or claim.owner.vm_id == self._vm_id:
             return None
         vm_id, life = claim.owner.vm_id, claim.owner.incarnation
-        return vm_id if self._news.lives_by_vm.get(vm_id) == life else None
+        return (
+            vm_id if self._news.incarnations_by_vm.get(vm_id) == life else None
+        )
 
     def close(self):
         """Close the connections."""
--- a/packages/gateway/anvilwell_gateway/batches/retention.py
+++ b/packages/gateway/anvilwell_gateway/batches/retention.py
@@ -96,17 +96,20 @@
     def _is_deleted_here(self, batch_id):
         """Return whether this entry deletes what is left of a batch."""
         duty = f"delete {batch_id}"
-        return choice.chosen(duty, self._news.lives_by_vm) == self._vm_id
+        return (
+            choice.chosen(duty, self._news.incarnations_by_vm) == self._vm_id
+        )
 
     def _orphaned(self):
         """Return the ended batches whose owners are gone."""
-        lives_by_vm = self._news.lives_by_vm
+        incarnations_by_vm = self._news.incarnations_by_vm
         return [
             batch_id
             for batch_id, claim in self.owners.claims_by_id.items()
             if batch_id in self._news.ended
             and batch_id not in self._manager.batches_by_id
-            and lives_by_vm.get(claim.owner.vm_id) != claim.owner.incarnation
+            and incarnations_by_vm.get(claim.owner.vm_id)
+            != claim.owner.incarnation
         ]
 
     async def _remove(self, batch_id, owner, chunks=None):
--- a/packages/gateway/anvilwell_gateway/batches/runner.py
+++ b/packages/gateway/anvilwell_gateway/batches/runner.py
@@ -85,7 +85,7 @@
         all whole events, whatever the end.
         """
         try:
-            connection = await self._pool.take(
+            connection = await self._pool.acquire(
                 replica.replica_id, replica.address
             )
         except exceptions.AnvilwellError as error:
@@ -101,7 +101,7 @@
             ended = Ended(End.STALLED)
         finally:
             if reply and ended.end in (End.WHOLE, End.REFUSED):
-                self._pool.give(replica.replica_id, connection, reply)
+                self._pool.release(replica.replica_id, connection, reply)
             else:
                 connection.close()
         return ended
@@ -137,13 +137,13 @@
         last_at = None
         while True:
             async with asyncio.timeout(events.STALL_TIMEOUT_S):
-                part = await connection.read_part()
+                part = await connection.read_chunk()
             if not part:
                 break
             buffered += part.replace(b"\r\n", b"\n")
             *blocks, buffered = buffered.split(events.BLOCK_END)
             if len(buffered) > events.MAX_BLOCK_BYTES:
-                raise client.failed("an event is too large")
+                raise client.call_error("an event is too large")
             for block in blocks:
                 event = self._dialect.read_event(block)
                 if event is None:
@@ -157,7 +157,7 @@
                     pace.saw_gap(now - last_at, now)
                 last_at = now
         if buffered.strip():
-            raise client.failed(
+            raise client.call_error(
                 "the stream ends within an event", reasons.Refusal.ANSWER_CUT
             )
         return reply, Ended(End.WHOLE, version)
@@ -167,7 +167,7 @@
     try:
         progress.add(event, version)
     except progresses.Gap as error:
-        raise client.failed(f"events are missing: {error}") from error
+        raise client.call_error(f"events are missing: {error}") from error
 
 
 def _may_use(version, order):
--- a/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
@@ -166,7 +166,7 @@
             end=end,
             state=batch.book.state(item_id).value,
             cause=cause,
-            replicas=attempt.tried,
+            replicas=attempt.tried_replica_ids,
             failures=attempt.failures,
             limit_s=round(limit_s, 3),
             took_s=round(took_s, 3),
--- a/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
@@ -7,9 +7,9 @@
 import pydantic
 
 from anvilwell_decisions.batches import places
-from anvilwell_gateway import bodies
 from anvilwell_gateway.http import client
 from anvilwell_gateway import measures
+from anvilwell_gateway import peer_calls
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
@@ -18,7 +18,7 @@
 # a place that is free elsewhere.
 ASK_S = 0.2
 # A lender answers from memory. One that needs longer keeps its places.
-LIMITS = bodies.Limits(timeout_s=0.3, max_bytes=1 << 20)
+LIMITS = peer_calls.CallLimits(timeout_s=0.3, max_bytes=1 << 20)
 
 _ASK = pydantic.TypeAdapter(places.Ask)
 _COUNTS = pydantic.TypeAdapter(dict[str, int])
@@ -125,7 +125,7 @@
         if address is None:
             return
         try:
-            body = await bodies.ask(
+            body = await peer_calls.call(
                 self._pool, lender, address, TARGET, ask, LIMITS
             )
             counts_by_replica = _COUNTS.validate_python(cbor2.loads(body))
@@ -141,7 +141,7 @@
 
     async def answer(self, request, responder):
         """Lend places to another home."""
-        ask = bodies.read(_ASK, request.body, "question for places")
+        ask = peer_calls.decode(_ASK, request.body, "question for places")
         self.look([ask.service])
         known = self._places_by_service[ask.service]
         now = asyncio.get_running_loop().time()
--- a/packages/gateway/anvilwell_gateway/batches/submission_forwarding.py
+++ b/packages/gateway/anvilwell_gateway/batches/submission_forwarding.py
@@ -7,9 +7,9 @@
 import pydantic
 
 from anvilwell_gateway.batches import homes as all_homes
-from anvilwell_gateway import bodies
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import messages
+from anvilwell_gateway import peer_calls
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
@@ -54,7 +54,7 @@
     exceptions.BadRequest
         If there is none.
     """
-    submission = bodies.read(_FORWARDED_SUBMISSION, body, "submission")
+    submission = peer_calls.decode(_FORWARDED_SUBMISSION, body, "submission")
     now = asyncio.get_running_loop().time()
     return messages.Request(
         "POST",
@@ -103,9 +103,9 @@
             request.body,
             request.organisation,
         )
-        question = bodies.question(TARGET, address, submission)
+        question = peer_calls.build_request(TARGET, address, submission)
         try:
-            reply, _ = await self._pool.ask(
+            reply, _ = await self._pool.call(
                 home, address, question, TIMEOUT_S, MAX_ANSWER_BYTES
             )
         except exceptions.BackendFailed as error:
--- a/packages/gateway/anvilwell_gateway/crash_notifier.py
+++ b/packages/gateway/anvilwell_gateway/crash_notifier.py
@@ -12,15 +12,15 @@
 import pydantic
 
 from anvilwell_decisions.requests import quarantine as quarantines
-from anvilwell_gateway import bodies
 from anvilwell_gateway.http import client
+from anvilwell_gateway import peer_calls
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
 TARGET = "/ends"
 # An entry answers within milliseconds; one that does not is not there.
-LIMITS = bodies.Limits(timeout_s=0.5, max_bytes=4 << 10)
+LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=4 << 10)
 # Waits between tries, the last one again and again: an entry that can't be
 # reached from here may take callers all the same.
 RETRY_DELAYS_S = (0.25, 0.5, 1.0, 2.0, 4.0)
@@ -49,7 +49,7 @@
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_CRASHES, body, "ends of replicas")
+    return peer_calls.decode(_CRASHES, body, "ends of replicas")
 
 
 class _Delivered(typing.NamedTuple):
@@ -132,7 +132,7 @@
         )
 
     def _incarnation(self, vm_id):
-        return self._news.lives_by_vm.get(vm_id, "")
+        return self._news.incarnations_by_vm.get(vm_id, "")
 
     def _delivered(self, vm_id, incarnation):
         """Return the ends that one incarnation of an entry was told."""
@@ -177,7 +177,9 @@
 
     async def _send(self, vm_id, crashes):
         address = self._news.addresses_by_vm[vm_id]
-        await bodies.ask(self._pool, vm_id, address, TARGET, crashes, LIMITS)
+        await peer_calls.call(
+            self._pool, vm_id, address, TARGET, crashes, LIMITS
+        )
 
     @staticmethod
     def _log_failure(vm_id, pending, cause):
--- a/packages/gateway/anvilwell_gateway/crash_sync.py
+++ b/packages/gateway/anvilwell_gateway/crash_sync.py
@@ -11,9 +11,9 @@
 import pydantic
 
 from anvilwell_decisions.requests import quarantine as quarantines
-from anvilwell_gateway import bodies
 from anvilwell_gateway import crash_notifier
 from anvilwell_gateway.http import client
+from anvilwell_gateway import peer_calls
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
@@ -22,7 +22,7 @@
 # Every entry is told of every end, so one would do; a second one covers for
 # one that was cut off, or has just started itself.
 ENTRIES_TO_ASK = 2
-LIMITS = bodies.Limits(timeout_s=0.5, max_bytes=1 << 20)
+LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=1 << 20)
 # Requests in one answer, those with the most ends first.
 MAX_REQUESTS = 4096
 
@@ -83,10 +83,10 @@
         if address is None:
             return
         try:
-            body = await bodies.ask(
+            body = await peer_calls.call(
                 self._pool, vm_id, address, TARGET, None, LIMITS
             )
-            known = bodies.read(_KNOWN, body, "known ends")
+            known = peer_calls.decode(_KNOWN, body, "known ends")
         except exceptions.AnvilwellError as error:
             _LOG.log("ends-not-asked", entry=vm_id, cause=error.message)
             return
--- a/packages/gateway/anvilwell_gateway/duties/holding.py
+++ b/packages/gateway/anvilwell_gateway/duties/holding.py
@@ -179,7 +179,9 @@
 
     def _is_our_turn(self, now):
         mine = self._presence.vm_id
-        ranked = choice.ranked(self._name, {*self._news.lives_by_vm, mine})
+        ranked = choice.ranked(
+            self._name, {*self._news.incarnations_by_vm, mine}
+        )
         delay_s = RANK_DELAY_S * ranked.index(mine)
         return now >= self._vacant_since + delay_s
 
--- a/packages/gateway/anvilwell_gateway/duties/reporting.py
+++ b/packages/gateway/anvilwell_gateway/duties/reporting.py
@@ -14,8 +14,8 @@
 import pydantic
 
 from anvilwell_decisions.duties import usage
-from anvilwell_gateway import bodies
 from anvilwell_gateway import measures
+from anvilwell_gateway import peer_calls
 from anvilwell_gateway import store as stores
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
@@ -140,7 +140,7 @@
         holder hears all others within about a second.
         """
         self._true_now()
-        return self._true_time.is_known(len(self._news.lives_by_vm))
+        return self._true_time.is_known(len(self._news.incarnations_by_vm))
 
     def _true_now(self):
         now = self._clock()
@@ -188,7 +188,7 @@
         self._revision = entry.revision if entry else 0
         self._ledger = usage.Ledger()
         if entry is not None:
-            self._ledger = bodies.read(_LEDGER, entry.value, "ledger")
+            self._ledger = peer_calls.decode(_LEDGER, entry.value, "ledger")
 
     def _due(self):
         """Return the windows that are to be recorded now, in order."""
@@ -207,7 +207,7 @@
 
     def _is_due(self, window, now):
         _, end = self._gathered.bounds(window)
-        lives = self._news.lives_by_vm.values()
+        lives = self._news.incarnations_by_vm.values()
         is_whole = self._gathered.is_whole(window, lives)
         return now >= end + (SETTLE_S if is_whole else PATIENCE_S)
 
--- a/packages/gateway/anvilwell_gateway/duties/telling.py
+++ b/packages/gateway/anvilwell_gateway/duties/telling.py
@@ -13,8 +13,8 @@
 import pydantic
 
 from anvilwell_decisions.duties import usage
-from anvilwell_gateway import bodies
 from anvilwell_gateway.http import client
+from anvilwell_gateway import peer_calls
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
@@ -28,7 +28,7 @@
 # A window is told as whole so long after its end, in seconds: most of what
 # began in it has an answer by then, or its first event.
 CLOSE_S = 0.6
-LIMITS = bodies.Limits(timeout_s=0.5, max_bytes=4 << 10)
+LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=4 << 10)
 
 _TOLD = pydantic.TypeAdapter(usage.Told)
 _TRUE_TIME = pydantic.TypeAdapter(float | None)
@@ -44,7 +44,7 @@
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_TOLD, body, "counts")
+    return peer_calls.decode(_TOLD, body, "counts")
 
 
 class Teller:
@@ -167,10 +167,10 @@
         address = self._news.addresses_by_vm.get(holder)
         if address is None:
             raise exceptions.Refused("the holder is not known to live")
-        body = await bodies.ask(
+        body = await peer_calls.call(
             self._pool, holder, address, TARGET, told, LIMITS
         )
-        return bodies.read(_TRUE_TIME, body, "true time")
+        return peer_calls.decode(_TRUE_TIME, body, "true time")
 
 
 def write_true_time(true_time):
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -35,12 +35,12 @@
         Addresses and names.
     platform : platforms.Platform
         The adapter to the platform.
-    early : listening.Early, optional
+    early : listening.EarlyListeners, optional
         What listens already.
     """
 
     def __init__(self, settings, platform, early=None):
-        self._early = early or listening.Early({})
+        self._early = early or listening.EarlyListeners({})
         self._pool = client.Pool(asyncio.get_running_loop().time)
         self._budget = byte_budget.ByteBudget.from_memory(
             settings.daemon.memory_mb
@@ -137,9 +137,9 @@
         return self.peer_server.address
 
     @property
-    def lives_by_vm(self):
+    def incarnations_by_vm(self):
         """The life of each entry that is known here."""
-        return self.fleet.news.lives_by_vm
+        return self.fleet.news.incarnations_by_vm
 
     @property
     def metrics_port(self):
--- a/packages/gateway/anvilwell_gateway/feeds.py
+++ b/packages/gateway/anvilwell_gateway/feeds.py
@@ -15,7 +15,7 @@
 import cbor2
 import pydantic
 
-from anvilwell_gateway import bodies
+from anvilwell_gateway import peer_calls
 from anvilwell_kernel import exceptions
 from anvilwell_outside.ports import keyvalue
 
@@ -210,7 +210,7 @@
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_REQUEST, body, "question for changes")
+    return peer_calls.decode(_REQUEST, body, "question for changes")
 
 
 def read_response(status, body):
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -119,5 +119,5 @@
             *self.presence.gauge_values(),
             *self.paths.gauge_values(),
             *self.directory.gauge_values(),
-            measures.GaugeValue("peers", len(self.news.lives_by_vm)),
+            measures.GaugeValue("peers", len(self.news.incarnations_by_vm)),
         ]
--- a/packages/gateway/anvilwell_gateway/forwarding.py
+++ b/packages/gateway/anvilwell_gateway/forwarding.py
@@ -22,9 +22,11 @@
 
 # Answers up to this size are taken whole before any of it is passed on,
 # so that a broken one can be asked again elsewhere.
-MAX_HELD_BYTES = 1 << 20
+MAX_BUFFERED_BYTES = 1 << 20
 # Refusals for want of room: their callers come back in turns.
-_SHORT = frozenset((reasons.Refusal.OVERLOADED, reasons.Refusal.OVER_SHARE))
+_CAPACITY_REFUSALS = frozenset(
+    (reasons.Refusal.OVERLOADED, reasons.Refusal.OVER_SHARE)
+)
 
 _LOG = logs.get_logger(__name__)
 
@@ -44,7 +46,7 @@
         What decided the route; its version is logged.
     crash_tracker : crash_tracker.CrashTracker
         Which requests end replicas.
-    count_begun : callable
+    count_start : callable
         Told who sent a request, and when a replica began it.
     """
 
@@ -55,10 +57,10 @@
         pool,
         configuration,
         crash_tracker,
-        count_begun,
+        count_start,
         rng=None,
     ):
-        self.count_begun = count_begun
+        self.count_start = count_start
         self.crash_tracker = crash_tracker
         self._configuration = configuration
         self._dialect = dialect
@@ -83,15 +85,15 @@
         attempt = self.attempts(route, call, request)
         try:
             with self._fair_sharing.admit(attempt):
-                held = await attempt.run()
+                response = await attempt.run()
         except exceptions.AnvilwellError as error:
             await self._fail(attempt, route, call, error, responder)
             return
-        self._answered(attempt, route, held.status)
+        self._answered(attempt, route, response.status)
         fields = self._fields(attempt, route, call)
-        _LOG.routine("request-answered", status=held.status, **fields)
-        headers = messages.end_to_end(held.headers)
-        await responder.send(held.status, headers, held.body)
+        _LOG.routine("request-answered", status=response.status, **fields)
+        headers = messages.end_to_end(response.headers)
+        await responder.send(response.status, headers, response.body)
 
     async def stream(self, route, call, request, responder):
         """Pass the events of a replica on as they come."""
@@ -126,7 +128,7 @@
             "organisation": attempt.organisation,
             "route": route.name,
             "configuration": self._configuration.current.version,
-            "replicas": attempt.tried,
+            "replicas": attempt.tried_replica_ids,
             "took_s": round(attempt.age_s(), 4),
         }
 
@@ -154,10 +156,10 @@
 
     def _retry_after_s(self, attempt, error):
         """Return when the caller of a refused request may come back."""
-        if error.reason in _SHORT:
+        if error.reason in _CAPACITY_REFUSALS:
             now = asyncio.get_running_loop().time()
             schedule = self._retry_schedules_by_service[attempt.service]
-            return schedule.wait_s(now, attempt.left_s)
+            return schedule.wait_s(now, attempt.remaining_s)
         return error.retry_after or retry_after.MIN_WAIT_S
 
     def _answered(self, attempt, route, status):
@@ -181,7 +183,7 @@
             inner = expected_latency.LeastExpectedLatency(self._rng)
             known = ejection.OutlierEjection(self._rng, inner)
             self._policies_by_service[service] = known
-            self._fill(service, known)
+            self._add_replicas(service, known)
         return known
 
     def _replicas_changed(self, changed):
@@ -201,7 +203,7 @@
                     policy.replica_down(replica_id, now)
                     self._pool.forget(replica_id)
 
-    def _fill(self, service, policy):
+    def _add_replicas(self, service, policy):
         """Take in the replicas that a new policy chooses from."""
         now = asyncio.get_running_loop().time()
         for replica in self._directory.usable(service):
@@ -212,8 +214,8 @@
         """Return what is registered of a replica, or None."""
         return self._directory.replicas_by_id.get(replica_id)
 
-    async def send(self, replica, route, call, request, timeout_s):
-        """Return the `Held` answer of one replica.
+    async def fetch_response(self, replica, route, call, request, timeout_s):
+        """Return the `BufferedResponse` answer of one replica.
 
         Raises
         ------
@@ -222,29 +224,29 @@
         """
         connection = await self.connect(replica)
         try:
-            reply = await self.ask(
+            reply = await self.send_request(
                 connection, replica, call, request, timeout_s
             )
-            body = await connection.read_body(MAX_HELD_BYTES)
+            body = await connection.read_body(MAX_BUFFERED_BYTES)
         except BaseException:
             connection.close()
             raise
         self.release(replica, connection, reply)
-        return attempts.Held(reply.status, reply.headers, body)
+        return attempts.BufferedResponse(reply.status, reply.headers, body)
 
     async def connect(self, replica):
         """Return a connection to `replica`."""
-        return await self._pool.take(replica.replica_id, replica.address)
+        return await self._pool.acquire(replica.replica_id, replica.address)
 
     def release(self, replica, connection, reply):
         """Keep a connection whose answer was read whole."""
-        self._pool.give(replica.replica_id, connection, reply)
+        self._pool.release(replica.replica_id, connection, reply)
 
     def read_event(self, block):
         """Return the `facts.Event` in one block of a stream, or None."""
         return self._dialect.read_event(block)
 
-    async def ask(
+    async def send_request(
         self, connection, replica, call, request, timeout_s, resume_after=0
     ):
         """Send a request; return the `Reply` that is its answer's head.
@@ -280,21 +282,21 @@
     def _check(call, reply, outcome):
         """Raise if the answer is another's, or says "not run"."""
         if outcome.is_other:
-            raise client.failed(
+            raise client.call_error(
                 "another replica answers at this address",
                 reasons.Refusal.OTHER_REPLICA,
                 verdicts.Verdict.NOT_RUN,
             )
         if outcome.not_run:
-            raise client.failed(
+            raise client.call_error(
                 f"refused with {reply.status}",
                 reasons.Refusal.OVERLOADED,
                 verdicts.Verdict.NOT_RUN,
             )
         if outcome.request_id and outcome.request_id != call.request_id:
-            raise client.failed("the answer is another request's")
+            raise client.call_error("the answer is another request's")
         if reply.status < 300 and not outcome.is_sealed:
-            raise client.failed("the answer has no seal")
+            raise client.call_error("the answer has no seal")
 
     def _report(self, replica, outcome):
         if outcome.load:
--- a/packages/gateway/anvilwell_gateway/frontend.py
+++ b/packages/gateway/anvilwell_gateway/frontend.py
@@ -38,7 +38,7 @@
         Answers live calls.
     batches : service.Batches
         Answers what concerns batches.
-    early : listening.Early
+    early : listening.EarlyListeners
         What listens already.
     budget : byte_budget.ByteBudget
         What may be held for callers.
--- a/packages/gateway/anvilwell_gateway/http/client.py
+++ b/packages/gateway/anvilwell_gateway/http/client.py
@@ -19,13 +19,13 @@
 # is sent again after a second, so waiting longer seldom helps.
 CONNECT_TIMEOUT_S = 0.5
 # Kept connections are dropped this long before the peer would.
-KEEP_MARGIN_S = 1.0
+KEEP_ALIVE_MARGIN_S = 1.0
 # For peers that do not say how long they keep an idle connection.
-DEFAULT_KEEP_S = 4.0
+DEFAULT_KEEP_ALIVE_S = 4.0
 MAX_IDLE_PER_PEER = 32
 # A connection whose peer answers no probe is broken after three seconds:
 # a waiting watch would otherwise hang for its 17 s on a path that is cut.
-_PROBES = (
+_KEEPALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
@@ -35,7 +35,7 @@
 )
 
 
-def failed(message, reason=reasons.Refusal.BACKEND_FAILED, verdict=None):
+def call_error(message, reason=reasons.Refusal.BACKEND_FAILED, verdict=None):
     """Return the error of a call that brought no whole answer."""
     verdict = verdict or verdicts.Verdict.MAY_HAVE_RUN
     return exceptions.BackendFailed(message, reason=reason, verdict=verdict)
@@ -51,10 +51,12 @@
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
         self._idle_watch = None
-        self.keep_until = 0.0
+        self.usable_until = 0.0
 
     @classmethod
-    async def open(cls, address, timeout_s=CONNECT_TIMEOUT_S, is_probed=False):
+    async def open(
+        cls, address, timeout_s=CONNECT_TIMEOUT_S, use_keepalive=False
+    ):
         """Connect to `address`; a probed peer may not go silent.
 
         Raises
@@ -68,14 +70,14 @@
                     address.host, address.port, limit=READ_BYTES
                 )
         except (OSError, TimeoutError) as error:
-            raise failed(
+            raise call_error(
                 f"no connection to {address}: {error!r}",
                 reasons.Refusal.CONNECT_FAILED,
                 verdicts.Verdict.NOT_RUN,
             ) from error
-        if is_probed:
+        if use_keepalive:
             probed = writer.get_extra_info("socket")
-            for option in _PROBES:
+            for option in _KEEPALIVE_OPTIONS:
                 probed.setsockopt(*option)
         return cls(reader, writer)
 
@@ -105,9 +107,9 @@
                 headers = messages.decode_headers(event.headers)
                 return messages.Reply(event.status_code, headers)
             if not isinstance(event, h11.InformationalResponse):
-                raise failed("the answer has no head")
+                raise call_error("the answer has no head")
 
-    async def read_part(self):
+    async def read_chunk(self):
         """Return the next bytes of the body, b"" at its end."""
         while True:
             event = await self._next_event()
@@ -120,11 +122,11 @@
         """Return the rest of the body, of at most `max_bytes`."""
         parts = []
         size = 0
-        while part := await self.read_part():
+        while part := await self.read_chunk():
             parts.append(part)
             size += len(part)
             if size > max_bytes:
-                raise failed(f"the answer is over {max_bytes} bytes")
+                raise call_error(f"the answer is over {max_bytes} bytes")
         return b"".join(parts)
 
     async def _next_event(self):
@@ -136,21 +138,23 @@
                 data = await self._reader.read(READ_BYTES)
                 self._conn.receive_data(data)
             except (h11.RemoteProtocolError, OSError) as error:
-                raise failed(
+                raise call_error(
                     f"the answer is broken: {error}",
                     reasons.Refusal.ANSWER_CUT,
                 ) from error
 
-    def end_cycle(self, reply, now, default_keep_s=DEFAULT_KEEP_S):
+    def end_cycle(self, reply, now, default_keep_alive_s=DEFAULT_KEEP_ALIVE_S):
         """Get ready for another request; return whether it may come."""
         conn = self._conn
         is_done = conn.our_state is h11.DONE and conn.their_state is h11.DONE
         if not is_done or conn.trailing_data[0]:
             return False
         conn.start_next_cycle()
-        keep_s = _keep_s(reply, default_keep_s) - KEEP_MARGIN_S
-        self.keep_until = now + keep_s
-        return keep_s > 0
+        keep_alive_s = (
+            _keep_alive_s(reply, default_keep_alive_s) - KEEP_ALIVE_MARGIN_S
+        )
+        self.usable_until = now + keep_alive_s
+        return keep_alive_s > 0
 
     def watch_idle(self, on_event):
         """Call `on_event` if the peer closes or says anything unasked."""
@@ -178,7 +182,7 @@
         self._writer.transport.abort()
 
 
-def _keep_s(reply, default_s):
+def _keep_alive_s(reply, default_s):
     """Return how long the peer keeps the connection when idle."""
     stated = messages.find(reply.headers, "keep-alive")
     pairs = (part.strip().partition("=") for part in stated.split(","))
@@ -198,32 +202,37 @@
     ----------
     clock : callable
         Returns monotonic time, in seconds.
-    is_probed : bool
+    use_keepalive : bool
         Whether peers are probed while they are silent. Those that may
         stand still and then go on with a request must not be.
-    keep_s : float
+    default_keep_alive_s : float
         How long peers that do not say so keep an idle connection, in
         seconds.
     """
 
-    def __init__(self, clock, is_probed=False, keep_s=DEFAULT_KEEP_S):
+    def __init__(
+        self,
+        clock,
+        use_keepalive=False,
+        default_keep_alive_s=DEFAULT_KEEP_ALIVE_S,
+    ):
         self._clock = clock
-        self._is_probed = is_probed
-        self._keep_s = keep_s
+        self._use_keepalive = use_keepalive
+        self._default_keep_alive_s = default_keep_alive_s
         self._idle_by_key = collections.defaultdict(collections.deque)
 
-    async def take(self, key, address, timeout_s=CONNECT_TIMEOUT_S):
+    async def acquire(self, key, address, timeout_s=CONNECT_TIMEOUT_S):
         """Return an idle connection of `key`, or a new one."""
         idle = self._idle_by_key[key]
         while idle:
             connection = idle.pop()
-            is_fresh = connection.keep_until > self._clock()
+            is_fresh = connection.usable_until > self._clock()
             if await connection.stop_watching() and is_fresh:
                 return connection
             connection.close()
-        return await Connection.open(address, timeout_s, self._is_probed)
+        return await Connection.open(address, timeout_s, self._use_keepalive)
 
-    async def ask(self, key, address, question, timeout_s, max_bytes):
+    async def call(self, key, address, request, timeout_s, max_bytes):
         """Send a `messages.Request`; return its `Reply` and whole body.
 
         After a timeout the idle connections go too: those of a peer that
@@ -237,12 +246,12 @@
         connection = None
         try:
             async with asyncio.timeout(timeout_s):
-                connection = await self.take(key, address)
+                connection = await self.acquire(key, address)
                 connection.send(
-                    question.method,
-                    question.target,
-                    question.headers,
-                    question.body,
+                    request.method,
+                    request.target,
+                    request.headers,
+                    request.body,
                 )
                 reply = await connection.read_head()
                 body = await connection.read_body(max_bytes)
@@ -254,14 +263,16 @@
             self.forget(key)
             verdict = None if connection else verdicts.Verdict.NOT_RUN
             message = f"no answer in {timeout_s:g} s"
-            raise failed(message, verdict=verdict) from error
-        self.give(key, connection, reply)
+            raise call_error(message, verdict=verdict) from error
+        self.release(key, connection, reply)
         return reply, body
 
-    def give(self, key, connection, reply):
+    def release(self, key, connection, reply):
         """Keep `connection` for another request if its peer will."""
         idle = self._idle_by_key[key]
-        may_follow = connection.end_cycle(reply, self._clock(), self._keep_s)
+        may_follow = connection.end_cycle(
+            reply, self._clock(), self._default_keep_alive_s
+        )
         if not may_follow or len(idle) >= MAX_IDLE_PER_PEER:
             connection.close()
             return
--- a/packages/gateway/anvilwell_gateway/http/listening.py
+++ b/packages/gateway/anvilwell_gateway/http/listening.py
@@ -15,7 +15,7 @@
 _KEYS = ("listen", "ready")
 
 
-class Early(typing.NamedTuple):
+class EarlyListeners(typing.NamedTuple):
     """Listening sockets by address, and why there are fewer than asked.
 
     What is wrong with the settings is told in full once they are loaded.
@@ -30,7 +30,7 @@
 
 
 def open_early(path):
-    """Return the `Early` listeners of an entry with settings at `path`."""
+    """Return the `EarlyListeners` of an entry with settings at `path`."""
     settings = configparser.ConfigParser(interpolation=None)
     sockets_by_address = {}
     try:
@@ -39,8 +39,8 @@
             address = settings.get(_SECTION, key)
             sockets_by_address[address] = _listen(address)
     except (OSError, ValueError, configparser.Error) as error:
-        return Early(sockets_by_address, (repr(error),))
-    return Early(sockets_by_address)
+        return EarlyListeners(sockets_by_address, (repr(error),))
+    return EarlyListeners(sockets_by_address)
 
 
 def _listen(address):
--- a/packages/gateway/anvilwell_gateway/http/server.py
+++ b/packages/gateway/anvilwell_gateway/http/server.py
@@ -321,7 +321,7 @@
             async with asyncio.timeout(timeout_s) as self._limit:
                 data = await self._reader.read(READ_BYTES)
         except TimeoutError:
-            data = await self._look_once_more()
+            data = await self._read_pending()
             if not data:
                 return False
         finally:
@@ -329,7 +329,7 @@
         self._conn.receive_data(data)
         return True
 
-    async def _look_once_more(self):
+    async def _read_pending(self):
         """Return what was read as the time ended; read nothing after it.
 
         It would be lost with the connection, and nobody would know.
@@ -364,7 +364,7 @@
     @staticmethod
     async def _take_result(handler, responder):
         """Answer for a handler that failed in a way nobody foresaw."""
-        error = _error(handler)
+        error = _handler_error(handler)
         if error is None:
             return
         is_known = isinstance(
@@ -408,7 +408,7 @@
             return None
         self._writer.transport.resume_reading()
         responder = Responder(
-            self._conn, self._writer, _always, self._server.budget
+            self._conn, self._writer, _always_close, self._server.budget
         )
         headers = ()
         if status == 503:
@@ -417,12 +417,12 @@
         return None
 
 
-def _error(task):
+def _handler_error(task):
     """Return what a task that is over failed with, or None."""
     if task.cancelled():
         return asyncio.CancelledError("the handler was cancelled")
     return task.exception()
 
 
-async def _always():
+async def _always_close():
     return True
--- a/packages/gateway/anvilwell_gateway/live_keys.py
+++ b/packages/gateway/anvilwell_gateway/live_keys.py
@@ -16,25 +16,25 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Live(typing.NamedTuple):
+class LiveKeyValue(typing.NamedTuple):
     """What a live key says; ``peers`` is where its VM helps others.
 
     ``capacity`` is what it can process, in cores, and ``link_mbps`` what
     its link carries, in Mbit/s, 0 if it does not know.
     """
 
-    life: str
+    incarnation: str
     peers: str
     failure_domain: str = ""
     capacity: float = 1.0
     link_mbps: float = 0.0
 
 
-_LIVE = pydantic.TypeAdapter(Live)
+_LIVE_KEY_VALUE = pydantic.TypeAdapter(LiveKeyValue)
 
 
 class LiveKeys:
-    """The `Live` of each VM that is there, as by_vm."""
+    """The `LiveKeyValue` of each VM that is there, as by_vm."""
 
     def __init__(self):
         self.by_vm = {}
@@ -53,9 +53,9 @@
         return vm_id
 
     @property
-    def lives_by_vm(self):
+    def incarnations_by_vm(self):
         """The life of each VM."""
-        return lives(self.by_vm)
+        return incarnations(self.by_vm)
 
     @property
     def addresses_by_vm(self):
@@ -78,7 +78,7 @@
 
 
 def read_all(entries_by_key):
-    """Return the `Live` in each live key, as live_by_vm."""
+    """Return the `LiveKeyValue` in each live key, as live_by_vm."""
     read_by_vm = {
         key.removeprefix(PREFIX): _read(key, entry.value)
         for key, entry in entries_by_key.items()
@@ -87,15 +87,15 @@
     return {vm_id: live for vm_id, live in read_by_vm.items() if live}
 
 
-def lives(live_by_vm):
-    """Return the life of each VM, as lives_by_vm."""
-    return {vm_id: live.life for vm_id, live in live_by_vm.items()}
+def incarnations(live_by_vm):
+    """Return the life of each VM, as incarnations_by_vm."""
+    return {vm_id: live.incarnation for vm_id, live in live_by_vm.items()}
 
 
 def _read(key, value):
-    """Return the `Live` in a live key, or None if it can't be understood."""
+    """Return the `LiveKeyValue` in a live key, None if it is unreadable."""
     try:
-        return _LIVE.validate_python(cbor2.loads(value))
+        return _LIVE_KEY_VALUE.validate_python(cbor2.loads(value))
     except (cbor2.CBORError, ValueError) as error:
         counters.count_unreadable("live")
         _LOG.log("peer-unreadable", key=key, cause=repr(error))
--- a/packages/gateway/anvilwell_gateway/measures.py
+++ b/packages/gateway/anvilwell_gateway/measures.py
@@ -36,7 +36,7 @@
     unit="1",
     description="Items that moved and are whole, by whether that saved time",
 )
-MOVES_SECONDS = _METER.create_up_down_counter(
+MOVES_SAVED_S = _METER.create_up_down_counter(
     "anvilwell_item_moves_saved",
     unit="s",
     description="Seconds that moves saved, less those that they cost",
@@ -89,4 +89,4 @@
 def count_move(gained_s):
     """Count an item that moved, and what that saved, in seconds."""
     MOVES.add(1, {"end": "gained" if gained_s > 0 else "lost"})
-    MOVES_SECONDS.add(gained_s)
+    MOVES_SAVED_S.add(gained_s)
--- a/packages/gateway/anvilwell_gateway/neighbours.py
+++ b/packages/gateway/anvilwell_gateway/neighbours.py
@@ -4,9 +4,9 @@
 import typing
 
 from anvilwell_decisions.duties import choice
-from anvilwell_gateway import bodies
 from anvilwell_gateway import feeds
 from anvilwell_gateway.http import client
+from anvilwell_gateway import peer_calls
 from anvilwell_gateway import store as stores
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
@@ -136,13 +136,13 @@
     async def _query(self, pending_by_prefix):
         """Return told_by_prefix, the answer to one question."""
         revisions = {p: one.revision for p, one in pending_by_prefix.items()}
-        request = bodies.question(
+        request = peer_calls.build_request(
             feeds.TARGET,
             self.address,
             feeds.ChangesRequest(revisions, self._engine),
         )
         try:
-            reply, body = await self._pool.ask(
+            reply, body = await self._pool.call(
                 self.vm_id,
                 self.address,
                 request,
@@ -183,7 +183,7 @@
         self._has_answered_recently = has_answered_recently
         self._engine = engine
         self._clock = asyncio.get_running_loop().time
-        self._pool = client.Pool(self._clock, is_probed=True)
+        self._pool = client.Pool(self._clock, use_keepalive=True)
         self._entries_by_vm = {}
         self._neighbours_by_vm = {}
         self._skipped_until_by_vm = {}
--- a/packages/gateway/anvilwell_gateway/news.py
+++ b/packages/gateway/anvilwell_gateway/news.py
@@ -41,9 +41,9 @@
         self.ended = set()
 
     @property
-    def lives_by_vm(self):
+    def incarnations_by_vm(self):
         """The life of each VM that is there."""
-        return self._live.lives_by_vm
+        return self._live.incarnations_by_vm
 
     @property
     def addresses_by_vm(self):
@@ -60,7 +60,7 @@
 
     @property
     def live_by_vm(self):
-        """The `live_keys.Live` of each VM that is there, by VM."""
+        """The `live_keys.LiveKeyValue` of each VM that is there, by VM."""
         return self._live.by_vm
 
     def listen(self, callback):
@@ -79,16 +79,18 @@
         self._takers_by_prefix[prefix] = taker
 
     async def read_lives(self):
-        """Return lives_by_vm as the store has them now.
+        """Return incarnations_by_vm as the store has them now.
 
         What this follower knows may be older than what else was read.
         """
         snapshot = await self._store.get_prefix(live_keys.PREFIX)
-        return live_keys.lives(live_keys.read_all(snapshot.entries_by_key))
+        return live_keys.incarnations(
+            live_keys.read_all(snapshot.entries_by_key)
+        )
 
     def load(self, entries_by_key):
         """Take all that is there now."""
-        before = self.lives_by_vm
+        before = self.incarnations_by_vm
         self._live.load(entries_by_key)
         ended = {
             key.removeprefix(ENDED_PREFIX)
@@ -98,7 +100,7 @@
         lost = {
             vm_id
             for vm_id, life in before.items()
-            if self.lives_by_vm.get(vm_id) != life
+            if self.incarnations_by_vm.get(vm_id) != life
         }
         fresh = ended - self.ended
         self._tell_of_entries()
@@ -129,10 +131,10 @@
                 taker.change(change)
 
     def _change_live(self, change):
-        lives_before = self.lives_by_vm
+        lives_before = self.incarnations_by_vm
         vm_id = self._live.change(change)
         before = lives_before.get(vm_id)
-        now = self.lives_by_vm.get(vm_id)
+        now = self.incarnations_by_vm.get(vm_id)
         self._tell_of_entries()
         _LOG.log("peer", peer=vm_id, is_live=now is not None)
         if before and before != now:
@@ -140,7 +142,7 @@
 
     def _tell(self, lost, ended):
         if self._presence.vm_id in lost:
-            mine = self.lives_by_vm.get(self._presence.vm_id)
+            mine = self.incarnations_by_vm.get(self._presence.vm_id)
             if mine != self._presence.incarnation:
                 self._presence.key_lost()
         for callback in self._listeners:
--- a/packages/gateway/anvilwell_gateway/notices.py
+++ b/packages/gateway/anvilwell_gateway/notices.py
@@ -15,10 +15,10 @@
 
 from anvilwell_decisions.duties import audience
 from anvilwell_decisions.traffic import facts
-from anvilwell_gateway import bodies
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import messages
 from anvilwell_gateway.http import server
+from anvilwell_gateway import peer_calls
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
@@ -80,7 +80,7 @@
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_NOTICE, body, "notice")
+    return peer_calls.decode(_NOTICE, body, "notice")
 
 
 def digest(addresses):
@@ -142,8 +142,8 @@
         # The next notice comes some seconds later, with the next version.
         self._pool = client.Pool(
             asyncio.get_running_loop().time,
-            is_probed=True,
-            keep_s=server.FIRST_LIMITS.idle_timeout_s,
+            use_keepalive=True,
+            default_keep_alive_s=server.FIRST_LIMITS.idle_timeout_s,
         )
         self._recipients = audience.Audience()
         self._addresses_by_vm = {}
@@ -208,7 +208,7 @@
             "POST", TARGET, (("Host", str(address)),), body
         )
         try:
-            reply, answer = await self._pool.ask(
+            reply, answer = await self._pool.call(
                 vm_id, address, request, TIMEOUT_S, MAX_ANSWER_BYTES
             )
             if reply.status == 200:
--- a/packages/gateway/anvilwell_gateway/paths.py
+++ b/packages/gateway/anvilwell_gateway/paths.py
@@ -14,10 +14,10 @@
 import cbor2
 
 from anvilwell_decisions.outages import paths as choices
-from anvilwell_gateway import bodies
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import messages
 from anvilwell_gateway import measures
+from anvilwell_gateway import peer_calls
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
@@ -87,7 +87,7 @@
     def __init__(self, address):
         self._address = address
         clock = asyncio.get_running_loop().time
-        self._pool = client.Pool(clock, is_probed=True)
+        self._pool = client.Pool(clock, use_keepalive=True)
 
     def move(self, address):
         """Take a changed address of the service."""
@@ -128,7 +128,7 @@
 
     async def send(self, call):
         """Return the `Answer` that the peer got."""
-        question = bodies.question(RELAY_TARGET, self._address, call)
+        question = peer_calls.build_request(RELAY_TARGET, self._address, call)
         reply, body = await _ask(
             self._pool,
             self._vm_id,
@@ -149,7 +149,7 @@
 
 async def _ask(pool, key, address, question, timeout_s):
     try:
-        return await pool.ask(
+        return await pool.call(
             key, address, question, timeout_s, MAX_ANSWER_BYTES
         )
     except exceptions.BackendFailed as error:
@@ -178,7 +178,7 @@
         self._probe_call = probe
         self._choice = choices.PathChoice(rng or random.Random())
         clock = asyncio.get_running_loop().time
-        self._pool = client.Pool(clock, is_probed=True)
+        self._pool = client.Pool(clock, use_keepalive=True)
         self._paths_by_name = {choices.DIRECT: direct}
         self._listeners = []
         self._probing = None
--- a/packages/gateway/anvilwell_gateway/bodies.py
+++ b/packages/gateway/anvilwell_gateway/peer_calls.py
@@ -9,14 +9,14 @@
 from anvilwell_kernel import exceptions
 
 
-class Limits(typing.NamedTuple):
+class CallLimits(typing.NamedTuple):
     """How long an answer may take, in seconds, and how many bytes."""
 
     timeout_s: float
     max_bytes: int
 
 
-async def ask(pool, vm_id, address, target, content, limits):
+async def call(pool, vm_id, address, target, content, limits):
     """Return the body of the answer of the process on another VM.
 
     Raises
@@ -24,21 +24,21 @@
     exceptions.BackendFailed
         If there is none, or its status is not 200.
     """
-    reply, body = await pool.ask(
-        vm_id, address, question(target, address, content), *limits
+    reply, body = await pool.call(
+        vm_id, address, build_request(target, address, content), *limits
     )
     if reply.status != 200:
-        raise client.failed(f"status {reply.status}")
+        raise client.call_error(f"status {reply.status}")
     return body
 
 
-def question(target, address, content):
+def build_request(target, address, content):
     """Return the request that asks the process at `address`."""
     host = ("Host", str(address))
     return messages.Request("POST", target, (host,), cbor2.dumps(content))
 
 
-def read(adapter, body, what):
+def decode(adapter, body, what):
     """Return what a request's body holds, checked by a type `adapter`.
 
     Raises
--- a/packages/gateway/anvilwell_gateway/presence.py
+++ b/packages/gateway/anvilwell_gateway/presence.py
@@ -221,7 +221,7 @@
         _LOG.log("registered", lease=self._lease)
 
     async def _write(self, key, revision):
-        live = live_keys.Live(
+        live = live_keys.LiveKeyValue(
             self.incarnation,
             self._peers,
             self._failure_domain,
--- a/packages/gateway/anvilwell_gateway/retirement.py
+++ b/packages/gateway/anvilwell_gateway/retirement.py
@@ -52,7 +52,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _write(self, key):
-        peers = sorted({*self._news.lives_by_vm, self._vm_id})
+        peers = sorted({*self._news.incarnations_by_vm, self._vm_id})
         await asyncio.sleep(RANK_DELAY_S * peers.index(self._vm_id))
         note_key, value = self._codec.retirement_entry(key)
         try:
--- a/packages/gateway/anvilwell_gateway/streams.py
+++ b/packages/gateway/anvilwell_gateway/streams.py
@@ -22,7 +22,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class _LetGo(Exception):
+class _ReplicaReleased(Exception):
     """The caller reads so slowly that the replica was let go."""
 
 
@@ -72,17 +72,17 @@
         while True:
             replica = self._choose()
             if replica is None:
-                await self._send_failure(self._last_resort())
+                await self._send_failure(self._final_response())
                 return
             try:
-                held = await self._attempt_while_read(replica)
+                response = await self._attempt_while_read(replica)
             except exceptions.AnvilwellError as error:
-                self._note(error, replica.replica_id)
+                self._record_failure(error, replica.replica_id)
                 continue
-            if held is None:
+            if response is None:
                 return
-            if self._counts(held, replica.replica_id):
-                await self._send_failure(held)
+            if self._is_final(response, replica.replica_id):
+                await self._send_failure(response)
                 return
 
     async def _attempt_while_read(self, replica):
@@ -90,7 +90,7 @@
         while True:
             try:
                 return await self._attempt(replica)
-            except _LetGo:
+            except _ReplicaReleased:
                 _LOG.log(
                     "stream-let-go",
                     request_id=self._call.request_id,
@@ -98,21 +98,21 @@
                     last=self._last_number,
                 )
 
-    def _last_resort(self):
+    def _final_response(self):
         if self._responder.has_started:
-            raise client.failed(
+            raise client.call_error(
                 f"the stream ended early: {self._last_error.message}",
                 reasons.Refusal.ANSWER_CUT,
             )
-        return super()._last_resort()
+        return super()._final_response()
 
-    async def _send_failure(self, held):
-        headers = messages.end_to_end(held.headers)
-        await self._responder.send(held.status, headers, held.body)
+    async def _send_failure(self, response):
+        headers = messages.end_to_end(response.headers)
+        await self._responder.send(response.status, headers, response.body)
 
     async def _ask(self, replica):
         """Pass on what one replica sends; return a failure it answers."""
-        started_at = self._started(replica)
+        started_at = self._record_start(replica)
         connection = None
         failed = True
         is_whole = False
@@ -123,17 +123,19 @@
             if reply.status >= 300:
                 body = await connection.read_body(MAX_FAILURE_BYTES)
                 is_whole = True
-                failed = reply.status >= attempts.FAILED
-                return attempts.Held(reply.status, reply.headers, body)
-            await self._pass_on(connection, reply)
+                failed = reply.status >= attempts.FIRST_FAILURE_STATUS
+                return attempts.BufferedResponse(
+                    reply.status, reply.headers, body
+                )
+            await self._relay_events(connection, reply)
             is_whole = True
             failed = False
             return None
         except TimeoutError:
-            raise client.failed(
+            raise client.call_error(
                 "the replica fell silent", reasons.Refusal.DEADLINE
             ) from None
-        except (asyncio.CancelledError, _LetGo):
+        except (asyncio.CancelledError, _ReplicaReleased):
             failed = False
             raise
         finally:
@@ -141,11 +143,11 @@
                 self._forwarder.release(replica, connection, reply)
             elif connection:
                 connection.close()
-            self._ended(replica, started_at, failed)
+            self._record_end(replica, started_at, failed)
 
     async def _head(self, connection, replica):
         async with asyncio.timeout(self._stall_s()):
-            return await self._forwarder.ask(
+            return await self._forwarder.send_request(
                 connection,
                 replica,
                 self._call,
@@ -162,23 +164,23 @@
             return events.STALL_TIMEOUT_S
         return FIRST_STALL_SHARE * self._route.target_latency_s
 
-    async def _pass_on(self, connection, reply):
+    async def _relay_events(self, connection, reply):
         """Send each whole event on until the stream ends."""
         buffered = b""
         while True:
             async with asyncio.timeout(self._stall_s()):
-                part = await connection.read_part()
+                part = await connection.read_chunk()
             if not part:
                 break
             whole, end, buffered = (buffered + part).rpartition(
                 events.BLOCK_END
             )
             if len(buffered) > events.MAX_BLOCK_BYTES:
-                raise client.failed("an event is too large")
+                raise client.call_error("an event is too large")
             if end:
                 await self._send_events(connection, reply, whole + end)
         if buffered.strip():
-            raise client.failed(
+            raise client.call_error(
                 "the stream ends within an event", reasons.Refusal.ANSWER_CUT
             )
         await self._begin(reply)
@@ -198,11 +200,11 @@
             if event is None:
                 continue
             if event.number != number + 1:
-                raise client.failed(
+                raise client.call_error(
                     f"event {event.number} came after event {number}"
                 )
             number = event.number
-        self._begun(self._loop.time())
+        self._count_start(self._loop.time())
         await self._begin(reply)
         writing = asyncio.create_task(self._responder.write(data))
         try:
@@ -214,7 +216,7 @@
         finally:
             writing.cancel()
             self._last_number = number
-        raise _LetGo
+        raise _ReplicaReleased
 
     async def _is_read_soon(self, writing):
         """Wait for the caller; return False if its replica may be let go."""
--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -16,8 +16,8 @@
 
 from anvilwell_decisions.duties import choice
 from anvilwell_decisions.requests import trials
-from anvilwell_gateway import bodies
 from anvilwell_gateway.http import client
+from anvilwell_gateway import peer_calls
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
@@ -25,10 +25,10 @@
 TARGET = "/trials"
 DECIDERS = 2
 # An entry answers within milliseconds, and the caller's time runs.
-LIMITS = bodies.Limits(timeout_s=0.2, max_bytes=4 << 10)
+LIMITS = peer_calls.CallLimits(timeout_s=0.2, max_bytes=4 << 10)
 
 
-class Question(typing.NamedTuple):
+class TrialRequest(typing.NamedTuple):
     """That `trier` wants to try a request, or is done with it.
 
     ``replica_ids`` are all that it knows to have ended under the request.
@@ -40,21 +40,21 @@
     replica_ids: tuple[str, ...]
 
 
-_QUESTION = pydantic.TypeAdapter(Question)
+_TRIAL_REQUEST = pydantic.TypeAdapter(TrialRequest)
 _WAIT_S = pydantic.TypeAdapter(float)
 
 _LOG = logs.get_logger(__name__)
 
 
 def read(body):
-    """Return the `Question` in a request's body.
+    """Return the `TrialRequest` in a request's body.
 
     Raises
     ------
     exceptions.BadRequest
         If it holds none.
     """
-    return bodies.read(_QUESTION, body, "trial")
+    return peer_calls.decode(_TRIAL_REQUEST, body, "trial")
 
 
 class Trials:
@@ -99,7 +99,9 @@
         first: of two that ask at once one gets both.
         """
         for decider in self._deciders(fingerprint):
-            wait_s = await self._ask(decider, fingerprint, trier, False)
+            wait_s = await self._ask_decider(
+                decider, fingerprint, trier, False
+            )
             if wait_s:
                 return wait_s
             granted.append(decider)
@@ -108,7 +110,7 @@
     async def _end(self, fingerprint, trier, granted):
         """Tell those that granted a trial that it is over."""
         for decider in granted:
-            await self._ask(decider, fingerprint, trier, True)
+            await self._ask_decider(decider, fingerprint, trier, True)
 
     def _deciders(self, fingerprint):
         """Return who decides, this entry alone if it knows no other."""
@@ -117,22 +119,22 @@
         )
         return vm_ids[:DECIDERS] or [self._vm_id]
 
-    async def _ask(self, decider, fingerprint, trier, is_over):
+    async def _ask_decider(self, decider, fingerprint, trier, is_over):
         """Return how long one decider has the request wait, in seconds."""
         replica_ids = self._quarantine.replica_ids(fingerprint)
-        question = Question(
+        request = TrialRequest(
             fingerprint, trier, is_over, tuple(sorted(replica_ids))
         )
         if decider == self._vm_id:
-            return self.decide(question)
+            return self.decide(request)
         address = self._news.addresses_by_vm.get(decider)
         if address is None:
             return trials.RETRY_WAIT_S
         try:
-            body = await bodies.ask(
-                self._pool, decider, address, TARGET, question, LIMITS
+            body = await peer_calls.call(
+                self._pool, decider, address, TARGET, request, LIMITS
             )
-            return bodies.read(_WAIT_S, body, "wait")
+            return peer_calls.decode(_WAIT_S, body, "wait")
         except exceptions.AnvilwellError as error:
             _LOG.log(
                 "trial-not-asked",
@@ -142,16 +144,16 @@
             )
             return trials.RETRY_WAIT_S
 
-    def decide(self, question):
-        """Return how long the `Question`'s request must wait, in seconds."""
+    def decide(self, request):
+        """Return how long the `TrialRequest`'s request must wait, in seconds."""
         now = self._loop.time()
-        fingerprint = question.fingerprint
-        self._quarantine.add_crashes(fingerprint, question.replica_ids, now)
-        if question.is_over:
-            self._trials.end(fingerprint, question.trier)
+        fingerprint = request.fingerprint
+        self._quarantine.add_crashes(fingerprint, request.replica_ids, now)
+        if request.is_over:
+            self._trials.end(fingerprint, request.trier)
             return 0.0
         wait_s = self._quarantine.wait_s(fingerprint, now)
-        return wait_s or self._trials.begin(fingerprint, question.trier, now)
+        return wait_s or self._trials.begin(fingerprint, request.trier, now)
 
     async def stop(self):
         """Tell nobody more."""
--- a/packages/gateway/anvilwell_gateway_standins/follower_world.py
+++ b/packages/gateway/anvilwell_gateway_standins/follower_world.py
@@ -187,7 +187,7 @@
         self._world = world
         self._name = name
 
-    async def ask(self, vm_id, address, question, timeout_s, max_bytes):
+    async def call(self, vm_id, address, question, timeout_s, max_bytes):
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._ask(vm_id, question)
--- a/packages/gateway/anvilwell_gateway_standins/notice_strategies.py
+++ b/packages/gateway/anvilwell_gateway_standins/notice_strategies.py
@@ -186,7 +186,7 @@
         sender.set_entries(dict.fromkeys(self._world.vms, made_at), ranked)
         await sender.send(NOTICE)
 
-    async def ask(self, vm_id, address, question, timeout_s, max_bytes):
+    async def call(self, vm_id, address, question, timeout_s, max_bytes):
         """Answer as an entry does."""
         await self._world.ask(vm_id, len(question.body))
         self._world.record_receipt(vm_id, address)
--- a/packages/gateway/tests/batches/test_homes.py
+++ b/packages/gateway/tests/batches/test_homes.py
@@ -15,7 +15,7 @@
 def _homes(replicas, items=176):
     news = types.SimpleNamespace(
         live_by_vm={
-            f"vm{n}": live_keys.Live(
+            f"vm{n}": live_keys.LiveKeyValue(
                 "life", "", "a", 2.0 if n < 6 else 0.5, 100.0
             )
             for n in range(20)
--- a/packages/gateway/tests/batches/test_slot_sharing.py
+++ b/packages/gateway/tests/batches/test_slot_sharing.py
@@ -28,7 +28,7 @@
         self.is_cut = False
         self.asked = 0
 
-    async def ask(self, key, address, question, timeout_s, max_bytes):
+    async def call(self, key, address, question, timeout_s, max_bytes):
         self.asked += 1
         if self.is_cut:
             raise exceptions.BackendFailed(
--- a/packages/gateway/tests/duties/duty_world.py
+++ b/packages/gateway/tests/duties/duty_world.py
@@ -188,7 +188,7 @@
         await self._vm.goes_on()
         await asyncio.sleep(ANSWER_S)
         if self.fault == "busy":
-            raise client.failed("busy")
+            raise client.call_error("busy")
         now = asyncio.get_running_loop().time()
         self._calls.append(
             judges.Call(
@@ -202,7 +202,7 @@
         )
         if self.fault == "lost":
             await asyncio.sleep(TIMEOUT_S)
-            raise client.failed("no answer")
+            raise client.call_error("no answer")
 
 
 class News:
@@ -213,7 +213,7 @@
     def __init__(self, reach):
         self._reach = reach
         self._takers_by_prefix = {}
-        self.lives_by_vm = {}
+        self.incarnations_by_vm = {}
         self.is_loaded = False
 
     def pass_on(self, prefix, taker):
@@ -235,7 +235,9 @@
             for key, entry in found.items()
             if key.startswith(live_keys.PREFIX)
         }
-        self.lives_by_vm = live_keys.lives(live_keys.read_all(live))
+        self.incarnations_by_vm = live_keys.incarnations(
+            live_keys.read_all(live)
+        )
         self.is_loaded = True
         for prefix, taker in self._takers_by_prefix.items():
             taker.load(
--- a/packages/gateway/tests/http/test_client.py
+++ b/packages/gateway/tests/http/test_client.py
@@ -13,7 +13,7 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import verdict as verdicts
 
-QUESTION = messages.Request("GET", "/", (("Host", "x"),), b"")
+REQUEST = messages.Request("GET", "/", (("Host", "x"),), b"")
 
 
 @contextlib.asynccontextmanager
@@ -30,12 +30,12 @@
     await responder.send(200)
 
 
-@pytest.mark.parametrize("is_probed", [False, True])
-def test_only_peers_that_are_to_be_probed_are(is_probed):
+@pytest.mark.parametrize("use_keepalive", [False, True])
+def test_only_peers_that_are_to_be_probed_are(use_keepalive):
     async def scenario():
-        pool = client.Pool(asyncio.get_running_loop().time, is_probed)
+        pool = client.Pool(asyncio.get_running_loop().time, use_keepalive)
         async with _served(_at_once) as address:
-            connection = await pool.take("k", address)
+            connection = await pool.acquire("k", address)
             peer = connection._writer.get_extra_info("socket")
             probes = peer.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
             silence_ms = peer.getsockopt(
@@ -44,7 +44,7 @@
             connection.close()
             return bool(probes), silence_ms
 
-    expected = (True, 3000) if is_probed else (False, 0)
+    expected = (True, 3000) if use_keepalive else (False, 0)
     assert asyncio.run(scenario()) == expected
 
 
@@ -60,14 +60,14 @@
         nonlocal hangs
         pool = client.Pool(asyncio.get_running_loop().time)
         async with _served(handle) as address:
-            first = pool.ask("k", address, QUESTION, 5.0, 100)
-            second = pool.ask("k", address, QUESTION, 5.0, 100)
+            first = pool.call("k", address, REQUEST, 5.0, 100)
+            second = pool.call("k", address, REQUEST, 5.0, 100)
             await asyncio.gather(first, second)
             idle = list(pool._idle_by_key["k"])
             assert len(idle) == 2
             hangs = True
             with pytest.raises(exceptions.BackendFailed) as caught:
-                await pool.ask("k", address, QUESTION, 0.05, 100)
+                await pool.call("k", address, REQUEST, 0.05, 100)
             assert not pool._idle_by_key["k"]
             return caught.value.verdict
 
@@ -80,7 +80,7 @@
         async with _served(_at_once) as address:
             pass
         with pytest.raises(exceptions.BackendFailed) as caught:
-            await pool.ask("k", address, QUESTION, 5.0, 100)
+            await pool.call("k", address, REQUEST, 5.0, 100)
         return caught.value.verdict
 
     assert asyncio.run(scenario()) is verdicts.Verdict.NOT_RUN
--- a/packages/gateway/tests/test_crash_notifier.py
+++ b/packages/gateway/tests/test_crash_notifier.py
@@ -20,12 +20,12 @@
         self.failures = 0
         self.told = []
 
-    async def ask(self, key, address, question, timeout_s, max_bytes):
+    async def call(self, key, address, request, timeout_s, max_bytes):
         await asyncio.sleep(0.001)
         if self.failures:
             self.failures -= 1
-            raise client.failed("no answer")
-        self.told.append((key, crash_notifier.read(question.body)))
+            raise client.call_error("no answer")
+        self.told.append((key, crash_notifier.read(request.body)))
         return messages.Reply(200, ()), b""
 
     def close(self):
@@ -42,7 +42,7 @@
             monkeypatch.setattr(crash_notifier.client, "Pool", lambda *_: pool)
             news = types.SimpleNamespace(
                 addresses_by_vm={"entry-1": "a:1", "entry-2": "a:2"},
-                lives_by_vm={"entry-1": "one", "entry-2": "two"},
+                incarnations_by_vm={"entry-1": "one", "entry-2": "two"},
             )
             notifier = crash_notifier.CrashNotifier("entry-1", news)
             try:
@@ -77,7 +77,7 @@
         notifier.notify(CRASH)
         await asyncio.sleep(60.0)
         news.addresses_by_vm["entry-3"] = "a:3"
-        news.lives_by_vm["entry-2"] = "another"
+        news.incarnations_by_vm["entry-2"] = "another"
         notifier.entries_changed()
         await asyncio.sleep(0.01)
         assert pool.told == [
--- a/packages/gateway/tests/test_crash_sync.py
+++ b/packages/gateway/tests/test_crash_sync.py
@@ -21,11 +21,11 @@
         self.silent = set()
         self.asked = []
 
-    async def ask(self, key, address, question, timeout_s, max_bytes):
+    async def call(self, key, address, request, timeout_s, max_bytes):
         await asyncio.sleep(0.001)
         self.asked.append(key)
         if key in self.silent:
-            raise client.failed("no answer")
+            raise client.call_error("no answer")
         return messages.Reply(200, ()), cbor2.dumps([KNOWN])
 
     def close(self):
--- a/packages/gateway/tests/test_crash_tracker.py
+++ b/packages/gateway/tests/test_crash_tracker.py
@@ -91,7 +91,7 @@
             left_s = timeout_s - refuses_after_s
             await asyncio.sleep(min(timeout_s, refuses_after_s))
             cause = ConnectionRefusedError() if left_s > 0 else TimeoutError()
-            raise client.failed("no connection") from cause
+            raise client.call_error("no connection") from cause
 
         if refuses_after_s is None:
             monkeypatch.setattr(crash_tracker, "_refuses_connections", look)
--- a/packages/gateway/tests/test_notices.py
+++ b/packages/gateway/tests/test_notices.py
@@ -56,11 +56,11 @@
     route = facts.Route("r", "h", "/", targets, True)
     plain = facts.Route("p", "h", "/p", (facts.Weighted("app", 1.0),))
     news = types.SimpleNamespace(
-        lives_by_vm={"e1": "l1", "e2": "l2", "e3": "l3"},
+        incarnations_by_vm={"e1": "l1", "e2": "l2", "e3": "l3"},
         live_by_vm={
-            "e1": live_keys.Live("l1", "", "a", 1.0),
-            "e2": live_keys.Live("l2", "", "a", 0.1),
-            "e3": live_keys.Live("l3", "", "a", 0.1),
+            "e1": live_keys.LiveKeyValue("l1", "", "a", 1.0),
+            "e2": live_keys.LiveKeyValue("l2", "", "a", 0.1),
+            "e3": live_keys.LiveKeyValue("l3", "", "a", 0.1),
         },
     )
     known = types.SimpleNamespace(
--- a/packages/gateway/tests/test_trials.py
+++ b/packages/gateway/tests/test_trials.py
@@ -31,11 +31,11 @@
             for vm_id in ADDRESSES_BY_VM
         }
 
-    async def ask(self, key, address, question, timeout_s, max_bytes):
+    async def call(self, key, address, request, timeout_s, max_bytes):
         await asyncio.sleep(0.001)
         if self.is_cut:
-            raise client.failed("no answer")
-        asked = trials.read(question.body)
+            raise client.call_error("no answer")
+        asked = trials.read(request.body)
         wait_s = self._trials_by_vm[key].decide(asked)
         return messages.Reply(200, ()), cbor2.dumps(wait_s)
 
