--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -114,7 +114,7 @@
     @property
     def usage_holder(self):
         """The VM that reports usage, as far as is known here, or None."""
-        return self.live_calls.usage.manager
+        return self.live_calls.usage.holder
 
     @property
     def crash_tracker(self):
