--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -145,7 +145,7 @@
             return trials.RETRY_WAIT_S
 
     def decide(self, request):
-        """Return how long the `TrialRequest`'s request must wait, in seconds."""
+        """Return how long a `TrialRequest` must wait, in seconds."""
         now = self._loop.time()
         fingerprint = request.fingerprint
         self._quarantine.add_crashes(fingerprint, request.replica_ids, now)
