--- a/packages/decisions/anvilwell_decisions/requests/ejection.py
+++ b/packages/decisions/anvilwell_decisions/requests/ejection.py
@@ -66,11 +66,11 @@
         """Pass the start of an attempt to the wrapped policy."""
         self._inner.started(replica_id, now)
 
-    def ended(self, ended, now):
+    def ended(self, attempt_end, now):
         """Count consecutive failures; eject the replica at the limit."""
-        self._inner.ended(ended, now)
-        replica_id = ended.replica_id
-        if not ended.failed:
+        self._inner.ended(attempt_end, now)
+        replica_id = attempt_end.replica_id
+        if not attempt_end.failed:
             self._failures_by_id.pop(replica_id, None)
             self._ejections_by_id.pop(replica_id, None)
             return
--- a/packages/decisions/anvilwell_decisions/requests/expected_latency.py
+++ b/packages/decisions/anvilwell_decisions/requests/expected_latency.py
@@ -66,20 +66,20 @@
         )
         self._server_loads.record(replica_id, load, now)
 
-    def ended(self, ended, now):
+    def ended(self, attempt_end, now):
         """Record the end of an attempt and learn from a complete response.
 
         Latencies are ignored while requests wait at the replica, as they then
         include queueing time.
         """
-        replica_id = ended.replica_id
-        is_usable = ended.is_answer and not ended.failed
-        started_at = now - ended.latency_s
+        replica_id = attempt_end.replica_id
+        is_usable = attempt_end.is_answer and not attempt_end.failed
+        started_at = now - attempt_end.latency_s
         if is_usable and not self._has_queued(replica_id, started_at):
             contention = self._server_loads.contention(replica_id, now)
-            uncontended_s = ended.latency_s / contention
+            uncontended_s = attempt_end.latency_s / contention
             self._service_times.record(replica_id, uncontended_s, now)
-        super().ended(ended, now)
+        super().ended(attempt_end, now)
 
     def _has_queued(self, replica_id, since):
         """Return whether requests may have waited at a replica `since`."""
--- a/packages/decisions/anvilwell_decisions/requests/grants.py
+++ b/packages/decisions/anvilwell_decisions/requests/grants.py
@@ -221,7 +221,7 @@
         """Return the current rate, in requests per second."""
         return self._grant.rate_per_s if now < self._until else 0.0
 
-    def take(self, now):
+    def try_acquire(self, now):
         """Return None if a request may pass, else the seconds to wait."""
         self._request_count += 1
         rate_per_s = self.rate_per_s(now)
--- a/packages/decisions/anvilwell_decisions/requests/quarantine.py
+++ b/packages/decisions/anvilwell_decisions/requests/quarantine.py
@@ -3,8 +3,8 @@
 A request that crashes a replica's process would otherwise be retried at the
 next replica, and repeated by its caller, until no replica is left. Which of
 its requests crashed a replica can't be observed, as all responses in flight
-are cut at the same time. Other requests are told apart by the count: it is
-rare that an innocent request is running at two crashes.
+are cut at the same time. Innocent requests are distinguished by the number of
+crashes: they are rarely running at a second one.
 """
 
 import collections
--- a/packages/decisions/anvilwell_decisions/requests/routing.py
+++ b/packages/decisions/anvilwell_decisions/requests/routing.py
@@ -57,9 +57,9 @@
         """Count an attempt that was sent to a replica."""
         self._loads.started(replica_id)
 
-    def ended(self, ended, now):
+    def ended(self, attempt_end, now):
         """Count the end of an attempt (a `facts.AttemptEnd`)."""
-        self._loads.ended(ended.replica_id)
+        self._loads.ended(attempt_end.replica_id)
 
     @abc.abstractmethod
     def choose(self, request, now):
--- a/packages/decisions/tests/requests/test_grants.py
+++ b/packages/decisions/tests/requests/test_grants.py
@@ -25,7 +25,7 @@
     @stateful.rule(entry=st.sampled_from(ENTRIES), asked=st.integers(0, 300))
     def demand(self, entry, asked):
         for _ in range(asked):
-            self.rates[entry].take(self.now)
+            self.rates[entry].try_acquire(self.now)
         self.demands.append((self.rates[entry].demand(1.0), self.now))
 
     @stateful.precondition(lambda self: self.demands)
@@ -87,7 +87,7 @@
         now = start + number
         for entry, asked in asked_by_entry.items():
             for _ in range(asked):
-                rates[entry].take(now)
+                rates[entry].try_acquire(now)
             grant = issuer.issue(rates[entry].demand(1.0), now)
             rates[entry].granted(grant, now)
     return {
@@ -150,8 +150,8 @@
 
 def test_bucket_admits_its_rate():
     rate = grants.TeamRate("t", "a")
-    assert rate.take(0.0) > 0
+    assert rate.try_acquire(0.0) > 0
     rate.granted(grants.Grant("t", "a", 1, 1, 10.0, 100.0), 0.0)
-    passed = sum(rate.take(n / 100) is None for n in range(1, 1001))
+    passed = sum(rate.try_acquire(n / 100) is None for n in range(1, 1001))
     assert 95 <= passed <= 111
-    assert rate.take(200.0) == grants.NO_GRANT_WAIT_S
+    assert rate.try_acquire(200.0) == grants.NO_GRANT_WAIT_S
