--- a/packages/daemon/anvilwell_daemon/claims/store.py
+++ b/packages/daemon/anvilwell_daemon/claims/store.py
@@ -44,7 +44,7 @@
         Returns
         -------
         claims.WriteApplied, claims.WriteConflict or claims.WriteUnknown
-            ``Lost`` if the store did not answer.
+            ``WriteUnknown`` if the store did not answer.
         """
         try:
             lease = await self._current_lease()
