--- a/packages/gateway/anvilwell_gateway/attempts.py
+++ b/packages/gateway/anvilwell_gateway/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts at one live request, and which answer counts."""
+"""Tries a live request at replicas: choice, hedging, retries and limits."""
 
 import asyncio
 import contextlib
@@ -15,14 +15,15 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
 
-# A second replica is asked when the first has taken this share of the
-# target latency; both together stay within it if the second is sound.
+# Share of the route's target latency after which a second replica gets the
+# request too. Both attempts together stay within the target latency if the
+# second replica is healthy.
 HEDGE_SHARE = 0.45
-# Time kept for the answer's way back, in seconds.
+# Time reserved for sending the response back to the caller, in seconds.
 RETURN_MARGIN_S = 0.005
-# Statuses from here on say that the replica failed the request.
+# Lowest HTTP status that says that the replica failed the request.
 FIRST_FAILURE_STATUS = 500
-# The replica that was chosen got nothing.
+# Refusals after which the chosen replica did not receive the request.
 _NOT_REACHED_REASONS = frozenset(
     (reasons.Refusal.CONNECT_FAILED, reasons.Refusal.OTHER_REPLICA)
 )
@@ -37,7 +38,7 @@
 
 
 class BufferedResponse(typing.NamedTuple):
-    """A whole answer of a replica."""
+    """A whole response of a replica, held in memory."""
 
     status: int
     headers: tuple
@@ -45,16 +46,16 @@
 
 
 class Attempts:
-    """The attempts at one request.
+    """Sends one request to replicas until one of them answers it.
 
     Parameters
     ----------
     forwarder : forwarding.Forwarder
-        Sends an attempt and knows the replicas.
+        Sends each attempt and provides the replicas.
     route : facts.Route
-        What the request may do.
+        Says which retries and hedges the request allows.
     call : dialect.Call
-        What its caller allows.
+        The caller's request id and limits, read from the headers.
     request : messages.Request
         The request.
     """
@@ -70,53 +71,55 @@
         self._deadline = request.received_at + self._limit_s
         self._verdict = verdicts.Verdict.NOT_RUN
         self._last_error = None
-        # The answer of a replica that failed the request itself: passed
-        # on if no other replica does better.
+        # The last 5xx response of a replica, which is returned if no other
+        # replica answers with success.
         self._failure = None
         self._not_reached = 0
         self._is_counted = False
-        # How long other entries hold the request back, in seconds.
+        # How long the entries that grant trials hold the request back, in
+        # seconds.
         self._trial_wait_s = 0.0
         self.tried_replica_ids = []
-        # How many replicas answered 500: they ran the request and failed.
+        # Number of replicas that answered 500: they ran the request and
+        # failed.
         self.failures = 0
 
     def age_s(self):
-        """Return how long ago the request came, in seconds."""
+        """Return the time since the request arrived, in seconds."""
         return self._loop.time() - self._request.received_at
 
     @property
     def service(self):
-        """The service whose replicas may answer."""
+        """The service that was chosen for the request."""
         return self._service
 
     @property
     def priority(self):
-        """The rank of the request, 0 for the highest."""
+        """The priority of the request, 0 for the highest."""
         return self._route.priority
 
     @property
     def remaining_s(self):
-        """How long the caller may still wait, in seconds."""
+        """The time until the request's deadline, in seconds, at least 0."""
         return max(0.0, self._deadline - self._loop.time())
 
     @property
     def organisation(self):
-        """Who sends the request, "" for nobody in particular."""
+        """The organisation that sent the request, "" if none is known."""
         return self._request.organisation
 
     @functools.cached_property
     def fingerprint(self):
-        """What is the same each time this request is sent."""
+        """A hash that is the same each time this request is sent."""
         return messages.fingerprint(self._request)
 
     async def run(self):
-        """Return the `BufferedResponse` answer.
+        """Return the `BufferedResponse` that answers the request.
 
         Raises
         ------
         exceptions.AnvilwellError
-            With the verdict of all attempts together.
+            Its verdict combines those of all attempts.
         """
         tasks = set()
         try:
@@ -135,7 +138,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def _timed_out(self, what):
-        """Return the error that says `what` did not come in time."""
+        """Return the error for a `what` that did not come in time."""
         verdict = self._verdict
         if self.tried_replica_ids:
             verdict = verdicts.Verdict.MAY_HAVE_RUN
@@ -145,7 +148,7 @@
         )
 
     async def _race(self, tasks):
-        """Ask replicas until one has answered whole."""
+        """Start attempts, one after another or hedged, until one succeeds."""
         while True:
             if not tasks and not self._start(tasks):
                 return self._final_response()
@@ -165,10 +168,10 @@
 
     @property
     def _sent_count(self):
-        """How many replicas the request was sent to, or is being sent to.
+        """The number of replicas that were, or are being, sent the request.
 
-        One that took no connection, or has ended and left its address to
-        another, was sent nothing.
+        A replica that refused the connection, or whose address another
+        replica has taken over, did not receive it.
         """
         return len(self.tried_replica_ids) - self._not_reached
 
@@ -182,13 +185,13 @@
 
     @property
     def _is_suspect(self):
-        """Whether a replica has ended under this request."""
+        """Whether a replica has crashed under this request."""
         tracker = self._forwarder.crash_tracker
         return not tracker.is_empty and tracker.is_suspect(self.fingerprint)
 
     @property
     def _held_back_s(self):
-        """How long no replica may get this request, in seconds."""
+        """How long the request is held back from replicas, in seconds."""
         tracker = self._forwarder.crash_tracker
         if tracker.is_empty:
             return self._trial_wait_s
@@ -196,7 +199,10 @@
 
     @contextlib.asynccontextmanager
     async def _trial(self):
-        """Let no other entry try the request meanwhile if it is suspect."""
+        """Hold the trial of a suspect request, which one entry has at a time.
+
+        Sets how long the request must wait if another entry has the trial.
+        """
         tracker = self._forwarder.crash_tracker
         if tracker.is_empty:
             yield
@@ -205,7 +211,7 @@
             yield
 
     def _start(self, tasks):
-        """Start an attempt at another replica; return whether one is."""
+        """Start an attempt at another replica; return whether there is one."""
         replica = self._choose(is_hedge=bool(tasks))
         if replica is None:
             return False
@@ -216,7 +222,7 @@
 
     @property
     def _is_repeatable(self):
-        """Whether the request may reach a replica after it has run."""
+        """Whether the request may be sent again though it may have run."""
         return self._route.is_idempotent
 
     @property
@@ -225,7 +231,11 @@
         return self._is_repeatable or not_run
 
     def _choose(self, is_hedge=False):
-        """Return the next replica to ask, None if there may be no more."""
+        """Return the replica for the next attempt, or None.
+
+        None if the limit of attempts is reached, if the request must not be
+        repeated, or if no replica is available.
+        """
         if (
             self._sent_count >= self._route.max_replicas
             or not self._may_repeat
@@ -248,9 +258,10 @@
         return replica
 
     async def _attempt(self, replica):
-        """Ask one replica, and find out whether it ended if it broke off.
+        """Make one attempt; find out whether a cut response was a crash.
 
-        The next replica is chosen only once that is known.
+        The next replica is chosen only after this check, as a request that
+        crashes replicas must not go on to another one.
         """
         tracker = self._forwarder.crash_tracker
         try:
@@ -264,16 +275,17 @@
         return answer
 
     def _count_start(self, at):
-        """Count the caller's request, once, as begun at loop time `at`.
+        """Count the request once for its caller's usage, as of loop time `at`.
 
-        Our own requests, as those for scores, are no use of a caller's.
+        Requests that the gateway makes itself, such as scoring requests,
+        have no caller and are not counted.
         """
         if self._request.caller and not self._is_counted:
             self._is_counted = True
             self._forwarder.count_start(self.organisation, at)
 
     async def _ask(self, replica):
-        """Return the `BufferedResponse` answer of one replica."""
+        """Return the `BufferedResponse` of one replica."""
         started_at = self._record_start(replica)
         failed = True
         response = None
@@ -292,7 +304,8 @@
             verdict = error.verdict
             raise
         except asyncio.CancelledError:
-            # Slower than a second replica that was asked later.
+            # The attempt is cancelled because another one answered first. It
+            # failed if it took longer than the delay before a hedge.
             hedge_s = HEDGE_SHARE * self._route.target_latency_s
             failed = self._loop.time() - started_at > hedge_s
             raise
@@ -302,14 +315,14 @@
             self._record_end(replica, started_at, failed, response is not None)
 
     def _record_start(self, replica):
-        """Tell the policy of an attempt; return when that was."""
+        """Report the start of an attempt to the policy; return its time."""
         now = self._loop.time()
         policy = self._forwarder.policy(self._service)
         policy.started(replica.replica_id, now)
         return now
 
     def _record_end(self, replica, started_at, failed, is_answer=False):
-        """Tell the policy how an attempt ended."""
+        """Report the end of an attempt to the policy."""
         now = self._loop.time()
         policy = self._forwarder.policy(self._service)
         took_s = now - started_at
@@ -321,7 +334,7 @@
         )
 
     def _accept_result(self, task):
-        """Return the answer of an attempt that is over, if it counts."""
+        """Return the response of a finished attempt, None to try another."""
         error = task.exception()
         replica_id = task.get_name()
         if error is not None:
@@ -331,10 +344,10 @@
         return response if self._is_final(response, replica_id) else None
 
     def _is_final(self, response, replica_id):
-        """Return whether an answer is passed on at once.
+        """Return whether a response goes to the caller without a retry.
 
-        A replica's own failure is only where the request may not be
-        repeated; else another replica may do better.
+        A 5xx response does so only if the request must not be repeated;
+        otherwise it is kept in case no other replica succeeds.
         """
         if response.status < FIRST_FAILURE_STATUS or not self._is_repeatable:
             return True
@@ -351,7 +364,7 @@
         return False
 
     def _retry_reason(self, is_hedge):
-        """Return why another replica is asked."""
+        """Return the `reasons.Retry` to count for the next attempt."""
         if is_hedge:
             return reasons.Retry.HEDGE
         return _RETRIES_BY_REFUSAL.get(
@@ -376,19 +389,19 @@
         )
 
     def _final_response(self):
-        """Return a replica's own failure, or raise why there is none."""
+        """Return the last 5xx response, or raise if no replica sent one."""
         if self._failure:
             return self._failure
         if self._held_back_s:
             raise exceptions.BackendFailed(
-                "replicas have ended under this request",
+                "replicas have crashed under this request",
                 reason=reasons.Refusal.QUARANTINED,
                 verdict=self._verdict,
                 retry_after=self._held_back_s,
             )
         if self._last_error is None:
             raise exceptions.Refused(
-                f"no replica of {self._service}",
+                f"no replica of {self._service} is available",
                 reason=reasons.Refusal.NO_REPLICA,
             )
         raise exceptions.BackendFailed(
@@ -399,7 +412,7 @@
 
 
 def _limit(route, call):
-    """Return how long a request may take, in seconds, and who says so."""
+    """Return a request's time limit, in seconds, and where it comes from."""
     if call.timeout_s is not None and call.timeout_s < route.timeout_s:
         return call.timeout_s, "the caller's limit"
     return route.timeout_s, "the route's timeout"
--- a/packages/gateway/anvilwell_gateway/forwarding.py
+++ b/packages/gateway/anvilwell_gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Carries a caller's request to a replica and the answer back."""
+"""Forwards live requests to replicas and returns their responses."""
 
 import asyncio
 import collections
@@ -20,10 +20,12 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
 
-# Answers up to this size are taken whole before any of it is passed on,
-# so that a broken one can be asked again elsewhere.
+# Limit of a response that is not streamed, in bytes. It is buffered whole
+# before any of it is sent on, so that a request whose response breaks off
+# can be sent to another replica.
 MAX_BUFFERED_BYTES = 1 << 20
-# Refusals for want of room: their callers come back in turns.
+# Refusals for lack of capacity. Retry-After spreads their callers over time
+# so that they don't all come back at once.
 _CAPACITY_REFUSALS = frozenset(
     (reasons.Refusal.OVERLOADED, reasons.Refusal.OVER_SHARE)
 )
@@ -32,22 +34,23 @@
 
 
 class Forwarder:
-    """Sends requests of plain routes to replicas.
+    """Sends requests of plain and stream routes to replicas.
 
     Parameters
     ----------
     dialect : dialect.Dialect
-        How replicas are spoken to.
+        Reads and writes the headers exchanged with replicas and callers.
     directory : directory.Directory
-        Which replicas there are.
+        The replicas that are registered.
     pool : client.Pool
-        Connections to them.
+        Connections to replicas.
     configuration : configuration.ConfigurationFollower
-        What decided the route; its version is logged.
+        The configuration in force, whose version is logged.
     crash_tracker : crash_tracker.CrashTracker
-        Which requests end replicas.
+        Records which requests crash replicas.
     count_start : callable
-        Told who sent a request, and when a replica began it.
+        Called with the organisation and the time of each request that a
+        replica started, to count its usage.
     """
 
     def __init__(
@@ -77,11 +80,11 @@
         directory.listen(self._replicas_changed)
 
     def attempts(self, route, call, request):
-        """Return the `attempts.Attempts` at a request of a plain route."""
+        """Return `attempts.Attempts` for a request that is not streamed."""
         return attempts.Attempts(self, route, call, request)
 
     async def forward(self, route, call, request, responder):
-        """Answer `request`, which `route` allows, through `responder`."""
+        """Send `request` to replicas and return one whole response."""
         attempt = self.attempts(route, call, request)
         try:
             with self._fair_sharing.admit(attempt):
@@ -96,7 +99,7 @@
         await responder.send(response.status, headers, response.body)
 
     async def stream(self, route, call, request, responder):
-        """Pass the events of a replica on as they come."""
+        """Send `request` to replicas and relay their events as they come."""
         attempt = streams.StreamAttempts(self, route, call, request, responder)
         try:
             with self._fair_sharing.admit(attempt):
@@ -112,7 +115,7 @@
         _LOG.routine("stream-answered", status=responder.status, **fields)
 
     def _log_cut(self, attempt, route, call, error):
-        """Note a stream that ends early; its connection is reset."""
+        """Log a stream that ended early; the caller's connection is reset."""
         counters.count_refusal(error.reason, route.name)
         _LOG.log(
             "stream-cut",
@@ -122,7 +125,7 @@
         )
 
     def _fields(self, attempt, route, call):
-        """Return what the log says of every live call that is over."""
+        """Return the log fields that all finished live calls share."""
         return {
             "request_id": call.request_id,
             "organisation": attempt.organisation,
@@ -155,7 +158,7 @@
         await responder.send(status, headers)
 
     def _retry_after_s(self, attempt, error):
-        """Return when the caller of a refused request may come back."""
+        """Return the Retry-After of a request that did not run, in seconds."""
         if error.reason in _CAPACITY_REFUSALS:
             now = asyncio.get_running_loop().time()
             schedule = self._retry_schedules_by_service[attempt.service]
@@ -177,7 +180,7 @@
         )
 
     def policy(self, service):
-        """Return the policy that chooses replicas of `service`."""
+        """Return the load-balancing policy of `service`."""
         known = self._policies_by_service.get(service)
         if known is None:
             inner = expected_latency.LeastExpectedLatency(self._rng)
@@ -204,23 +207,27 @@
                     self._pool.forget(replica_id)
 
     def _add_replicas(self, service, policy):
-        """Take in the replicas that a new policy chooses from."""
+        """Add the usable replicas of a service to its new policy."""
         now = asyncio.get_running_loop().time()
         for replica in self._directory.usable(service):
             up = request_facts.ReplicaFacts(replica.replica_id)
             policy.replica_up(up, now)
 
     def replica(self, replica_id):
-        """Return what is registered of a replica, or None."""
+        """Return the registered `facts.Replica` with this id, or None."""
         return self._directory.replicas_by_id.get(replica_id)
 
     async def fetch_response(self, replica, route, call, request, timeout_s):
-        """Return the `BufferedResponse` answer of one replica.
+        """Return the whole response of one replica.
+
+        Returns
+        -------
+        attempts.BufferedResponse
 
         Raises
         ------
         exceptions.BackendFailed
-            With the verdict of what happened.
+            Its verdict says whether the replica may have run the request.
         """
         connection = await self.connect(replica)
         try:
@@ -239,22 +246,31 @@
         return await self._pool.acquire(replica.replica_id, replica.address)
 
     def release(self, replica, connection, reply):
-        """Keep a connection whose answer was read whole."""
+        """Return a connection to the pool once its response is read whole."""
         self._pool.release(replica.replica_id, connection, reply)
 
     def read_event(self, block):
-        """Return the `facts.Event` in one block of a stream, or None."""
+        """Return the `facts.Event` in a block of an event stream, or None."""
         return self._dialect.read_event(block)
 
     async def send_request(
         self, connection, replica, call, request, timeout_s, resume_after=0
     ):
-        """Send a request; return the `Reply` that is its answer's head.
+        """Send a request on a connection and return the response's head.
+
+        Parameters
+        ----------
+        resume_after : int
+            Number of the last event that the caller received of a stream.
+
+        Returns
+        -------
+        messages.Reply
 
         Raises
         ------
         exceptions.BackendFailed
-            With the verdict of what happened.
+            Its verdict says whether the replica may have run the request.
         """
         connection.send(
             request.method,
@@ -280,23 +296,26 @@
 
     @staticmethod
     def _check(call, reply, outcome):
-        """Raise if the answer is another's, or says "not run"."""
+        """Raise unless the response belongs to this request and replica.
+
+        Also raises if the replica refused the request without running it.
+        """
         if outcome.is_other:
             raise client.call_error(
-                "another replica answers at this address",
+                "a different replica answered at this address",
                 reasons.Refusal.OTHER_REPLICA,
                 verdicts.Verdict.NOT_RUN,
             )
         if outcome.not_run:
             raise client.call_error(
-                f"refused with {reply.status}",
+                f"the replica refused with status {reply.status}",
                 reasons.Refusal.OVERLOADED,
                 verdicts.Verdict.NOT_RUN,
             )
         if outcome.request_id and outcome.request_id != call.request_id:
-            raise client.call_error("the answer is another request's")
+            raise client.call_error("the response is for another request")
         if reply.status < 300 and not outcome.is_sealed:
-            raise client.call_error("the answer has no seal")
+            raise client.call_error("the response has no seal")
 
     def _report(self, replica, outcome):
         if outcome.load:
--- a/packages/gateway/anvilwell_gateway/frontend.py
+++ b/packages/gateway/anvilwell_gateway/frontend.py
@@ -1,4 +1,4 @@
-"""Where callers, trainers and the balancer meet an entry."""
+"""Serves callers and trainers, and the load balancer's readiness probe."""
 
 import asyncio
 
@@ -9,39 +9,42 @@
 from anvilwell_kernel.telemetry import counters
 from anvilwell_kernel.telemetry import logs
 
-# Poll of what a new process does not know yet, in seconds.
+# How often a request polls for state that a new process has not loaded yet,
+# in seconds.
 POLL_INTERVAL_S = 0.02
+# Retry-After of each 503 response that this module sends, in seconds.
 NOT_CONFIGURED_RETRY_AFTER_S = 0.3
-# How long a call waits for the first configuration and list of replicas, a
-# batch for this entry's registration. They come 30 and 70 ms after the
-# start if the store answers; a refusal costs a caller one of its few tries.
+# How long a live call waits for the first configuration and replica list,
+# and a batch for the registration of this entry, in seconds. They arrive 30
+# and 70 ms after the start if the store answers. A refusal would use up one
+# of the caller's few retries.
 STARTUP_WAIT_S = 0.25
-# An entry that has run for so long and still lacks them refuses at once:
-# then the store is away, perhaps for seconds.
+# Later than this after the start, in seconds, requests no longer wait but
+# are refused at once: the store is then unreachable, perhaps for seconds.
 STARTUP_S = 1.0
 
 _LOG = logs.get_logger(__name__)
 
 
 class Frontend:
-    """Finds the part that answers each call, or says why none does.
+    """Dispatches each request to live calls or batches, or refuses it.
 
     Parameters
     ----------
     settings : config.EntrySection
-        Where it listens.
+        Holds the addresses to listen on.
     dialect : dialect.Dialect
-        How callers are spoken to.
+        Reads and writes the headers that callers use.
     fleet : fleet.Fleet
-        What is known.
+        The configuration, replicas and other entries as followed here.
     live_calls : live_calls.LiveCalls
         Answers live calls.
     batches : service.Batches
-        Answers what concerns batches.
+        Answers calls that submit, read or end batches.
     early : listening.EarlyListeners
-        What listens already.
+        Sockets that are listening already.
     budget : byte_budget.ByteBudget
-        What may be held for callers.
+        Limits the bytes that are buffered for callers.
     """
 
     def __init__(
@@ -67,7 +70,7 @@
 
     @property
     def in_flight(self):
-        """How many requests of callers are under way."""
+        """The number of caller requests in progress."""
         return self._server.in_flight
 
     @property
@@ -77,29 +80,32 @@
 
     @property
     def health_port(self):
-        """The port of readiness."""
+        """The port of the readiness probe."""
         return self._health.port
 
     async def start(self):
-        """Listen."""
+        """Start listening for callers and for readiness probes."""
         await self._server.start()
         await self._health.start()
 
     def start_draining(self):
-        """Be ready no more, and end each connection after its answer."""
+        """Report not ready, and close each connection after its response."""
         self._is_draining = True
         self._server.is_draining = True
 
     async def finish(self):
-        """Take nothing new, and answer what callers have sent."""
+        """Stop accepting connections, and answer the requests received."""
         await self._server.finish()
 
     async def abort_requests(self):
-        """Answer what is under way now, without a promise."""
+        """Answer the requests in progress with an error now.
+
+        The error says whether the request may have run.
+        """
         await self._aborter.abort()
 
     async def stop(self):
-        """Close everything."""
+        """Stop both servers and close all connections."""
         await self._server.stop()
         await aborting.RequestAborter(self._health).abort()
         await self._health.stop()
@@ -157,15 +163,19 @@
             await self._live_calls.answer(route, call, request, responder)
 
     def _check_configured(self):
-        """Refuse what can't be judged without a configuration."""
+        """Refuse the request if no configuration was received yet."""
         if self._fleet.configuration.current is None:
             raise exceptions.Refused(
-                "no configuration is known yet",
+                "no configuration received yet",
                 reason=reasons.Refusal.NOT_CONFIGURED,
             )
 
     async def _wait_for(self, is_ready):
-        """Wait a moment for what a new process does not know yet."""
+        """Wait until `is_ready()`, if this process has only just started.
+
+        Returns after `STARTUP_WAIT_S` at the latest, or `STARTUP_S` after
+        the start; the caller of this method checks the state again.
+        """
         loop = asyncio.get_running_loop()
         startup_ends_at = self._started_at + STARTUP_S
         deadline = min(loop.time() + STARTUP_WAIT_S, startup_ends_at)
--- a/packages/gateway/anvilwell_gateway/streams.py
+++ b/packages/gateway/anvilwell_gateway/streams.py
@@ -1,4 +1,4 @@
-"""Passes a replica's events to a live caller as they come."""
+"""Relays the event stream of a replica to a live caller."""
 
 import asyncio
 
@@ -10,50 +10,52 @@
 from anvilwell_kernel import reasons
 from anvilwell_kernel.telemetry import logs
 
+# Limit of the body of an error response, in bytes.
 MAX_FAILURE_BYTES = 1 << 20
-# How long a resumable stream waits for its first event before it is asked
-# of another replica, as a share of the target latency, so that the second
-# can still keep it; an engine needs about 30 ms.
+# Share of the route's target latency that a resumable stream waits for its
+# first event before another replica gets the request, so that the second
+# replica can still meet the target. An engine needs about 30 ms.
 FIRST_STALL_SHARE = 0.5
-# A caller that has not read an event for so long holds its replica up, in
-# seconds. Replicas cut answers that nobody reads after some seconds.
+# Time in which a caller must read an event, in seconds. After it a resumable
+# stream releases its replica, because replicas cut responses that are not
+# read for some seconds.
 SLOW_CALLER_S = 0.5
 
 _LOG = logs.get_logger(__name__)
 
 
 class _ReplicaReleased(Exception):
-    """The caller reads so slowly that the replica was let go."""
+    """The replica was released because the caller reads too slowly."""
 
 
 class StreamAttempts(attempts.Attempts):
-    """The attempts at one stream, one after another.
+    """Sends one streamed request to replicas, one after another.
 
-    The caller gets the head of the first replica that sent an event, and
-    then whole events only, whichever replica makes them.
+    The caller gets the response head of the first replica that sent an
+    event, then whole events only, whichever replica they come from.
 
     Parameters
     ----------
     forwarder, route, call, request
         As for `attempts.Attempts`.
     responder : server.Responder
-        Where the events go.
+        Sends the events to the caller.
     """
 
     def __init__(self, forwarder, route, call, request, responder):
         super().__init__(forwarder, route, call, request)
         self._responder = responder
-        # The number of the last event that the caller has.
+        # The number of the last event that was sent to the caller.
         self._last_number = call.resume_after
 
     async def run(self):
-        """Pass the stream on until its end.
+        """Relay the stream until its end.
 
         Raises
         ------
         exceptions.AnvilwellError
-            With the verdict of all attempts together; if an answer has
-            begun, it is not whole.
+            Its verdict combines those of all attempts. If a response has
+            started, the caller has received only a part of it.
         """
         try:
             async with (
@@ -86,7 +88,10 @@
                 return
 
     async def _attempt_while_read(self, replica):
-        """Ask one replica, once more each time that it was let go."""
+        """Make one attempt, and resume it each time the replica was released.
+
+        A replica is released while the caller reads too slowly.
+        """
         while True:
             try:
                 return await self._attempt(replica)
@@ -111,7 +116,13 @@
         await self._responder.send(response.status, headers, response.body)
 
     async def _ask(self, replica):
-        """Pass on what one replica sends; return a failure it answers."""
+        """Relay the events of one replica; return its error response, if any.
+
+        Returns
+        -------
+        attempts.BufferedResponse or None
+            None if the stream was relayed to its end.
+        """
         started_at = self._record_start(replica)
         connection = None
         failed = True
@@ -133,7 +144,7 @@
             return None
         except TimeoutError:
             raise client.call_error(
-                "the replica fell silent", reasons.Refusal.DEADLINE
+                "the replica stopped sending", reasons.Refusal.DEADLINE
             ) from None
         except (asyncio.CancelledError, _ReplicaReleased):
             failed = False
@@ -157,7 +168,7 @@
             )
 
     def _stall_s(self):
-        """Return how long a replica may be silent, None for ever."""
+        """Return the longest allowed pause, in seconds, or None for any."""
         if not self._route.is_resumable:
             return None
         if self._responder.has_started:
@@ -165,7 +176,7 @@
         return FIRST_STALL_SHARE * self._route.target_latency_s
 
     async def _relay_events(self, connection, reply):
-        """Send each whole event on until the stream ends."""
+        """Relay whole events until the replica ends its stream."""
         buffered = b""
         while True:
             async with asyncio.timeout(self._stall_s()):
@@ -176,7 +187,7 @@
                 events.BLOCK_END
             )
             if len(buffered) > events.MAX_BLOCK_BYTES:
-                raise client.call_error("an event is too large")
+                raise client.call_error("an event exceeds the size limit")
             if end:
                 await self._send_events(connection, reply, whole + end)
         if buffered.strip():
@@ -193,7 +204,15 @@
             await self._responder.start(reply.status, kept)
 
     async def _send_events(self, connection, reply, data):
-        """Send whole events, after making sure that none is missing."""
+        """Send whole events to the caller; raise if a number is missing.
+
+        Raises
+        ------
+        exceptions.BackendFailed
+            If the events are not numbered consecutively.
+        _ReplicaReleased
+            If the caller reads too slowly; the events were sent.
+        """
         number = self._last_number
         for block in data.split(events.BLOCK_END):
             event = self._forwarder.read_event(block) if block else None
@@ -210,7 +229,7 @@
         try:
             if await self._is_read_soon(writing):
                 return
-            # Its place goes to others until the caller has read.
+            # Frees the slot at the replica until the caller has read.
             connection.close()
             await writing
         finally:
@@ -219,7 +238,11 @@
         raise _ReplicaReleased
 
     async def _is_read_soon(self, writing):
-        """Wait for the caller; return False if its replica may be let go."""
+        """Wait until the caller has read; return False if it is too slow.
+
+        Only the replica of a resumable stream may be released, so others
+        wait without a limit.
+        """
         timeout_s = SLOW_CALLER_S if self._route.is_resumable else None
         done, _ = await asyncio.wait((writing,), timeout=timeout_s)
         if done:
