--- a/packages/gateway/anvilwell_gateway/aborting.py
+++ b/packages/gateway/anvilwell_gateway/aborting.py
@@ -1,4 +1,4 @@
-"""Ends requests that a stopping process can no longer wait for."""
+"""Aborts requests that a stopping process can no longer wait for."""
 
 import asyncio
 import contextlib
@@ -7,19 +7,19 @@
 from anvilwell_kernel import reasons
 from anvilwell_kernel.telemetry import logs
 
-# How long the answers to requests that were cut may take, in seconds.
+# Time limit for sending the responses to aborted requests, in seconds.
 RESPONSE_GRACE_S = 0.3
 
 _LOG = logs.get_logger(__name__)
 
 
 class RequestAborter:
-    """Ends the requests of one server by an error that its handler answers.
+    """Aborts the requests of one server by an error in their handlers.
 
     Parameters
     ----------
     server : server.Server
-        What reads them.
+        The server that receives the requests.
     """
 
     def __init__(self, server):
@@ -29,14 +29,14 @@
 
     @contextlib.asynccontextmanager
     async def guard(self):
-        """Hold one request, whose handler goes on until the cut.
+        """Run the handler of one request, which `abort` interrupts.
 
         Raises
         ------
         exceptions.Refused
-            If the cut is over: the request has not run.
+            If `abort` was called before: the request has not run.
         exceptions.Timeout
-            At the cut; the request may have run.
+            If `abort` is called meanwhile: the request may have run.
         """
         if self._is_aborted:
             raise exceptions.Refused(
@@ -51,13 +51,14 @@
             if not timeout.expired():
                 raise
             raise exceptions.Timeout(
-                "this VM stopped meanwhile", reason=reasons.Refusal.DRAINING
+                "this VM stopped while it handled the request",
+                reason=reasons.Refusal.DRAINING,
             ) from None
         finally:
             self._timeouts.discard(timeout)
 
     async def abort(self):
-        """End all requests now, and wait a moment for their answers."""
+        """Abort all requests, and wait briefly until they are answered."""
         self._is_aborted = True
         now = asyncio.get_running_loop().time()
         for timeout in self._timeouts:
--- a/packages/gateway/anvilwell_gateway/admission.py
+++ b/packages/gateway/anvilwell_gateway/admission.py
@@ -1,12 +1,12 @@
-"""Lets in what callers may send, and says for which organisation."""
+"""Checks callers' requests: their route, their key and its organisation."""
 
 from anvilwell_decisions.traffic import organisations
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
 
-# A change of the configuration is in force within so long at an entry that
-# the store answers, in seconds; see `presence.MAX_ANSWER_AGE_S`. A key that
-# was taken away may be in use for this much longer than the last answer.
+# Longest time until a change of the configuration is in force at an entry
+# that the store answers, in seconds; see `presence.MAX_ANSWER_AGE_S`. A
+# revoked key may be accepted for this long after the store's last answer.
 MAX_CONFIGURATION_DELAY_S = 2.0
 
 
@@ -16,13 +16,13 @@
     Parameters
     ----------
     dialect : dialect.Dialect
-        Finds the keys.
+        Reads the keys from the headers of requests.
     configuration : configuration.ConfigurationFollower
         The routes and organisations in force.
     presence : presence.Presence
-        Says how old they may be.
+        Says how long ago the store last answered.
     settings : config.OrganisationsSection
-        What holds while they can't be confirmed.
+        Says whether keys are refused while the store does not answer.
     """
 
     def __init__(self, dialect, configuration, presence, settings):
@@ -32,37 +32,38 @@
         self._settings = settings
 
     def admit(self, request):
-        """Return the route of `request`, and the request as it goes on.
+        """Return the route of `request`, and the request to forward.
 
-        It names its organisation and holds no key any more.
+        The returned request names its organisation and has no key.
 
         Raises
         ------
         exceptions.NotFound
-            If no route takes it.
+            If no route matches.
         exceptions.UnknownKey
-            If its route wants a key and it has none that is known.
+            If the route requires a key and the request has no known one.
         exceptions.Refused
-            If that is not certain.
+            If the keys in force here may be out of date.
         """
         route = self._configuration.routes.find(request.host, request.path)
         if route is None:
-            raise exceptions.NotFound("no route takes this path")
+            raise exceptions.NotFound("no route matches this path")
         sender = self._sender(request, route.is_open)
         route = organisations.ranked(route, sender)
         return route, self._anonymous(request, sender)
 
     def admit_batch_call(self, batch_call, request):
-        """Return a `dialect.BatchCall` on the batch that it is about.
+        """Return a `dialect.BatchCall` with the full id of its batch.
 
-        Only batches of the caller's organisation can be meant.
+        The id is qualified by the caller's organisation, so that a caller
+        reaches only the batches of its own organisation.
 
         Raises
         ------
         exceptions.UnknownKey
-            If the request has no key that is known, and needs one.
+            If the request requires a key and has no known one.
         exceptions.Refused
-            If that is not certain.
+            If the keys in force here may be out of date.
         """
         is_open = self._configuration.routes.has_open_batches(request.host)
         sender = self._sender(request, is_open)
@@ -80,15 +81,23 @@
             return known.sender(keys, is_open)
         except exceptions.UnknownKey:
             if not self._presence.can_confirm_ownership():
-                raise _uncertain("this VM may not know the key yet") from None
+                raise _uncertain(
+                    "the key may not have reached this VM yet"
+                ) from None
             raise
 
     def _check_confirmed(self):
-        """Refuse while a key may have been taken away too long ago."""
+        """Refuse keys if the store has not answered for too long.
+
+        A key may have been revoked since; applies only with strict
+        revocation.
+        """
         limit_s = self._settings.revocation_limit_s - MAX_CONFIGURATION_DELAY_S
         is_late = self._presence.answer_age_s() > limit_s
         if self._settings.strict_revocation and is_late:
-            raise _uncertain("keys can't be confirmed: the store is silent")
+            raise _uncertain(
+                "keys can't be confirmed: the store does not answer"
+            )
 
     def _anonymous(self, request, sender):
         return request._replace(
--- a/packages/gateway/anvilwell_gateway/crash_notifier.py
+++ b/packages/gateway/anvilwell_gateway/crash_notifier.py
@@ -1,8 +1,9 @@
-"""Tells other entries directly which requests a replica cut as it ended.
+"""Notifies other entries directly of requests that crashed a replica.
 
-The store tells them too, and whoever comes later; but while it takes no
-writes, each entry would let the same request end as many replicas again.
-Ends are rare, so each goes to every entry, in a millisecond or two.
+Crashes are also written to the store, from which entries that start later
+read them. But while the store takes no writes, each entry would let the same
+request crash as many replicas again. Crashes are rare, so each one is sent to
+every entry, which takes a millisecond or two.
 """
 
 import asyncio
@@ -19,18 +20,18 @@
 from anvilwell_kernel.telemetry import logs
 
 TARGET = "/ends"
-# An entry answers within milliseconds; one that does not is not there.
+# An entry answers within milliseconds; one that takes longer is unreachable.
 LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=4 << 10)
-# Waits between tries, the last one again and again: an entry that can't be
-# reached from here may take callers all the same.
+# Delays between retries, in seconds. The last one repeats without a limit,
+# as an entry that is unreachable from here may still serve callers.
 RETRY_DELAYS_S = (0.25, 0.5, 1.0, 2.0, 4.0)
-# Ends that are kept for entries that lack them, the oldest make room: some
-# racks of replicas.
+# Limit of the crashes that are kept for entries which lack them; the oldest
+# are dropped first. It holds the replicas of some racks.
 MAX_PENDING_CRASHES = 256
 
 
 class Crash(typing.NamedTuple):
-    """A replica that ended, and the requests that it cut then."""
+    """A replica that crashed, and the requests that it cut by that."""
 
     replica_id: str
     fingerprints: tuple[str, ...]
@@ -47,13 +48,13 @@
     Raises
     ------
     exceptions.BadRequest
-        If it holds none.
+        If the body can't be decoded.
     """
-    return peer_calls.decode(_CRASHES, body, "ends of replicas")
+    return peer_calls.decode(_CRASHES, body, "crashes of replicas")
 
 
 class _Delivered(typing.NamedTuple):
-    """The ends that one incarnation of an entry is known to know."""
+    """The crashes that one incarnation of an entry has acknowledged."""
 
     incarnation: str
     crashes: frozenset
@@ -63,22 +64,22 @@
 
 
 def retry_delays_s():
-    """Return the waits between tries at other entries, in seconds."""
+    """Return an endless iterator of retry delays, in seconds."""
     return itertools.chain(
         RETRY_DELAYS_S, itertools.repeat(RETRY_DELAYS_S[-1])
     )
 
 
 class CrashNotifier:
-    """Tells each entry that is known, one message at a time.
+    """Sends crashes to each live entry, one message at a time.
 
-    One that is heard of after an end is told of it then. An end is told for
-    as long as it holds a request back.
+    An entry that registers after a crash is notified of it then. A crash is
+    sent for as long as it holds a request back.
 
     Parameters
     ----------
     vm_id : str
-        This VM, which is not told.
+        The id of this VM, which is not notified.
     news : news.News
         The entries that live, and where.
     """
@@ -93,7 +94,7 @@
         self._tasks_by_vm = {}
 
     def notify(self, crash):
-        """Tell all other entries of a `Crash`."""
+        """Notify all other entries of a `Crash`."""
         self._observed_at_by_crash[crash] = self._clock()
         excess = len(self._observed_at_by_crash) - MAX_PENDING_CRASHES
         for oldest in list(self._observed_at_by_crash)[: max(0, excess)]:
@@ -102,7 +103,7 @@
         self.entries_changed()
 
     def entries_changed(self):
-        """Tell each entry that is known what it lacks."""
+        """Start to send each live entry the crashes that it lacks."""
         if not self._observed_at_by_crash:
             return
         vm_ids = set(self._news.addresses_by_vm) - {self._vm_id}
@@ -117,7 +118,7 @@
                 self._tasks_by_vm[vm_id] = task
 
     def _pending(self, vm_id):
-        """Return the ends that an entry lacks, as far as is known here."""
+        """Return the crashes that an entry has not acknowledged."""
         oldest_at = self._clock() - quarantines.LONG_PAUSE_S
         self._observed_at_by_crash = {
             crash: at
@@ -135,7 +136,7 @@
         return self._news.incarnations_by_vm.get(vm_id, "")
 
     def _delivered(self, vm_id, incarnation):
-        """Return the ends that one incarnation of an entry was told."""
+        """Return the crashes that an incarnation of an entry acknowledged."""
         delivered = self._delivered_by_vm.get(vm_id, _NONE_DELIVERED)
         return (
             delivered.crashes
@@ -144,9 +145,10 @@
         )
 
     async def _notify_entry(self, vm_id):
-        """Tell an entry that lives what it lacks, what comes meanwhile too.
+        """Send an entry the crashes that it lacks until none is left.
 
-        One that is not known to live is told once it is heard of again.
+        Ends early if the entry is no longer live; `entries_changed` starts
+        again once it is back.
         """
         delays_s = retry_delays_s()
         try:
@@ -167,7 +169,10 @@
         return vm_id in self._news.addresses_by_vm
 
     def _record_delivery(self, vm_id, incarnation, crashes):
-        """Note what an entry was told, as long as it would be told."""
+        """Record the crashes that an entry acknowledged.
+
+        Those that are no longer sent to anyone are dropped from the record.
+        """
         delivered = self._delivered(vm_id, incarnation).intersection(
             self._observed_at_by_crash
         )
@@ -191,6 +196,6 @@
         )
 
     async def stop(self):
-        """Tell no more."""
+        """Cancel all notifications and close their connections."""
         await tasks.stop(*self._tasks_by_vm.values())
         self._pool.close()
--- a/packages/gateway/anvilwell_gateway/crash_tracker.py
+++ b/packages/gateway/anvilwell_gateway/crash_tracker.py
@@ -1,10 +1,10 @@
-"""Tells entries which requests end replicas.
+"""Tracks which requests crash replicas, and shares this between entries.
 
-A request comes by any entry, so what one has seen must be known to all:
-then it is refused after the second end, wherever it comes.
-Each entry writes to the store which requests a replica cut as it ended; a
-write for each replica that ends at work, and none while all is well. It
-tells the other entries directly as well: the store may be away just then.
+A request may arrive at any entry, so each crash that one entry observes is
+shared with all: every entry then refuses the request after its second crash.
+Each entry writes to the store which requests a replica cut when it crashed,
+one write for each replica that crashes while it works. It also notifies the
+other entries directly, as the store may be unreachable at that time.
 """
 
 import asyncio
@@ -28,18 +28,24 @@
 from anvilwell_outside.ports import keyvalue
 
 PREFIX = f"{news.PREFIX}crashes/"
-# Other entries tell and ask under these targets.
+# Targets of requests from other entries that a tracker answers.
 TARGETS = frozenset((crash_notifier.TARGET, crash_sync.TARGET, trials.TARGET))
-# A replica whose process has ended refuses a connection within a round
-# trip, a millisecond or two. A VM that is silent tells nothing in time.
+# How long an attempt waits for the check whether its replica crashed, in
+# seconds. The address of a crashed process refuses a connection within a
+# round trip, a millisecond or two; a VM that went silent gives no result in
+# time.
 CRASH_CHECK_WAIT_S = 0.1
-# A refusal that is later still counts: this VM or the replica's may be busy.
+# How long the check itself goes on, in seconds. A refusal that comes late
+# still counts as a crash, as this VM or that of the replica may be busy.
 CRASH_CHECK_TIMEOUT_S = 2.0
-# Ends that come together share a write: a rack's replicas end at once.
+# How long crashes are gathered for one write, in seconds: the replicas of a
+# rack crash together.
 WRITE_DELAY_S = 0.05
-# Replicas' ends in one write; the store takes 32 keys.
+# Limit of the keys in one write, one for each crashed replica. The store
+# accepts 32.
 MAX_KEYS_PER_WRITE = 32
-# Between tries of a write that failed, as for reads of the store.
+# Delay before a failed write is repeated, in seconds, the same as for reads
+# of the store.
 WRITE_RETRY_S = 1.0
 
 
@@ -49,18 +55,18 @@
 
 
 class CrashTracker:
-    """Knows which requests end replicas, here and at other entries.
+    """Records which requests crash replicas, here and at other entries.
 
     Parameters
     ----------
     store : store.AsyncStore
-        Where ends are told.
+        The store that crashes are written to.
     directory : directory.Directory
-        Says which replicas are gone.
+        Reports replicas that are no longer present.
     vm_id : str
-        This VM.
+        The id of this VM.
     peers : news.News
-        The other entries, which are told and asked directly.
+        The other entries, which are notified and queried directly.
     """
 
     def __init__(self, store, directory, vm_id, peers):
@@ -84,25 +90,25 @@
         directory.listen(self._replicas_changed)
 
     async def stop(self):
-        """Tell no more."""
+        """Cancel the checks, writes and calls in progress."""
         await self._notifier.stop()
         await self._crash_sync.stop()
         await self._trials.stop()
         await tasks.stop(self._writer_task, *self._checks)
 
     def entries_changed(self):
-        """Tell and ask the entries that were heard of since."""
+        """Notify and query the entries that have come since."""
         self._notifier.entries_changed()
         self._crash_sync.entries_changed()
 
     def gauge_values(self):
-        """Return how many requests are held back."""
+        """Return the number of held-back requests as a gauge value."""
         held_back = self._quarantine.held_back_count(self._loop.time())
         return [measures.GaugeValue("requests_held_back", held_back)]
 
     @property
     def is_empty(self):
-        """Whether no request is known to have ended a replica lately."""
+        """Whether no crash under any request was recorded lately."""
         return self._quarantine.is_empty
 
     def wait_s(self, fingerprint):
@@ -111,9 +117,9 @@
 
     @contextlib.asynccontextmanager
     async def trial(self, fingerprint):
-        """Give how long a request must wait, in seconds; 0 if not.
+        """Yield how long a request must wait, in seconds, 0 to try it now.
 
-        One that has ended replicas is tried once at a time at all entries.
+        A request that has crashed replicas is tried by one entry at a time.
         """
         if self._quarantine.needs_trial(fingerprint, self._loop.time()):
             async with self._trials.trial(fingerprint) as wait_s:
@@ -122,9 +128,11 @@
             yield self.wait_s(fingerprint)
 
     def is_item_held_back(self, fingerprint):
-        """Return whether an item is held back, once its ends prove it.
+        """Return whether `PROVEN_CRASHES` hold an item of a batch back.
 
-        There are many engines, and five seconds cost an item its step.
+        Items are held back later than live calls: one of many engines is
+        worth less than the training step that an item loses by the short
+        pause of five seconds.
         """
         wait_s = self._quarantine.wait_s(
             fingerprint, self._loop.time(), quarantines.PROVEN_CRASHES
@@ -132,18 +140,19 @@
         return wait_s > 0
 
     def is_suspect(self, fingerprint):
-        """Return whether a replica has ended under a request."""
+        """Return whether a replica has crashed under a request."""
         return self._quarantine.crash_count(fingerprint) > 0
 
     def answered(self, fingerprint):
-        """Note that a replica answered a request whole."""
+        """Clear the crashes of a request that a replica answered whole."""
         self._quarantine.clear(fingerprint)
 
     async def note_cut(self, fingerprint, replica):
-        """Note that `replica` cut an answer; find out whether it ended.
+        """Record that `replica` cut a response; check whether it crashed.
 
-        The result is known within `CRASH_CHECK_WAIT_S`, except
-        for a replica that refuses connections only later.
+        Returns once the result is known, after `CRASH_CHECK_WAIT_S` at the
+        latest. A replica whose address refuses connections only after that
+        is still recorded as crashed.
         """
         replica_id = replica.replica_id
         now = self._loop.time()
@@ -158,20 +167,20 @@
             await asyncio.wait({check}, timeout=CRASH_CHECK_WAIT_S)
 
     async def _check(self, replica):
-        """Find out whether a replica has ended."""
+        """Record a crash if the replica's address refuses connections."""
         if await _refuses_connections(replica.address):
             self._record_crash(replica.replica_id)
 
     def load(self, entries_by_key):
-        """Take in all ends that were told."""
+        """Read all crashes that entries have written to the store."""
         for key, entry in entries_by_key.items():
             self._read_record(key, entry.value)
 
     def change(self, change):
-        """Take in the ends that one entry tells.
+        """Read a crash that an entry has written to the store.
 
-        One that is removed has lapsed, or its lease was lost with a VM:
-        what was learned holds for its own time.
+        The removal of a key is ignored: its lease ended, by time or with a
+        VM, and the quarantine keeps crashes for its own time.
         """
         if change.value is not None:
             self._read_record(change.key, change.value)
@@ -186,7 +195,7 @@
         self._learn(crash)
 
     async def answer(self, request, responder):
-        """Answer what another entry tells or asks directly."""
+        """Answer a notification or query of another entry."""
         if request.path == trials.TARGET:
             wait_s = self._trials.decide(trials.read(request.body))
             await responder.send(200, (), cbor2.dumps(wait_s))
@@ -201,7 +210,7 @@
         await responder.send(200)
 
     def _learn_known(self, known):
-        """Take in what another entry knew before this one started."""
+        """Add crashes that other entries recorded before this one started."""
         self._quarantine.add_crashes(
             known.fingerprint,
             known.replica_ids,
@@ -226,7 +235,7 @@
         self._report_crash(replica_id, found)
 
     def _report_crash(self, replica_id, fingerprints):
-        """Log and tell that a replica ended under requests."""
+        """Log a crash under requests, notify other entries, and write it."""
         if not fingerprints:
             return
         counts = {
@@ -250,7 +259,7 @@
             self._writer_task = asyncio.create_task(self._write_all())
 
     async def _write_all(self):
-        """Write what other entries are to know until it is all written."""
+        """Write pending crashes to the store until none is left."""
         while self._unwritten_by_replica:
             await asyncio.sleep(WRITE_DELAY_S)
             replica_ids = list(self._unwritten_by_replica)[:MAX_KEYS_PER_WRITE]
@@ -261,9 +270,15 @@
                 await asyncio.sleep(WRITE_RETRY_S)
 
     async def _write(self, replica_ids):
-        """Write what is untold of replicas, each under a key of our own.
-
-        A write that landed without an answer is found by the next one.
+        """Write the crashes of some replicas, each under a key of this VM.
+
+        Raises
+        ------
+        exceptions.Conflict
+            If a write before was applied without an answer; the next one
+            uses the revisions that this one read.
+        exceptions.NotFound
+            If the lease has ended; the next write takes another.
         """
         written_by_replica = {
             replica_id: self._written_by_replica.get(replica_id, frozenset())
@@ -286,7 +301,7 @@
             swap.key: _revision(result, swap.key) for swap in swaps
         }
         if not result.landed:
-            raise exceptions.Conflict("an end was told before")
+            raise exceptions.Conflict("a crash was written before")
         self._record_written(written_by_replica)
 
     def _record_written(self, written_by_replica):
@@ -296,11 +311,12 @@
                 del self._unwritten_by_replica[replica_id]
 
     async def _ensure_lease(self):
-        """Return a lease that lasts; nobody renews it."""
+        """Return a lease with at least half its time left; none is renewed."""
         now = self._loop.time()
         if now > self._lease_until:
             self._lease = await self._store.grant(quarantines.LONG_PAUSE_S)
-            # A key that is written once more after this is read first.
+            # The revisions of keys under the previous lease are unknown
+            # now; the first write of such a key conflicts and returns it.
             self._written_by_replica = {}
             self._revisions_by_key = {}
             self._lease_until = now + quarantines.LONG_PAUSE_S / 2
@@ -308,16 +324,24 @@
 
 
 def own_key(replica_id, vm_id):
-    """Return the key under which a VM tells of a replica's end.
+    """Return the key under which a VM writes a replica's crash.
 
-    Keys are short, ids need not be.
+    It is a hash, since keys must be short and ids may be long.
     """
     name = cbor2.dumps((replica_id, vm_id))
     return PREFIX + hashlib.blake2b(name, digest_size=16).hexdigest()
 
 
 def _revision(result, key):
-    """Return the revision of a key after a `keyvalue.SwapResult`."""
+    """Return the revision of a key after a swap, 0 if it does not exist.
+
+    Parameters
+    ----------
+    result : keyvalue.SwapResult
+        The result of the swap.
+    key : str
+        The key.
+    """
     if result.landed:
         return result.revision
     entry = result.entries_by_key.get(key)
@@ -325,7 +349,7 @@
 
 
 async def _refuses_connections(address):
-    """Return whether nothing listens at a replica's address any more."""
+    """Return whether a replica's address refuses connections."""
     try:
         connection = await client.Connection.open(
             address, CRASH_CHECK_TIMEOUT_S
--- a/packages/gateway/anvilwell_gateway/events.py
+++ b/packages/gateway/anvilwell_gateway/events.py
@@ -1,9 +1,10 @@
-"""How replicas stream events, for batches and for live callers."""
+"""Constants of the event streams of replicas."""
 
-# Each event is a block of lines that a blank line ends.
+# Each event is a block of lines that ends with a blank line.
 BLOCK_END = b"\n\n"
+# Limit of one event, in bytes.
 MAX_BLOCK_BYTES = 1 << 20
-# Without a head or an event for so long, a run goes on elsewhere, in
-# seconds. Events come every 40 ms, every 150 ms from a slow replica, and
-# pause for about 0.4 s while it loads weights.
+# Longest wait for a response head or the next event, in seconds; after it
+# the run continues at another replica. Events come every 40 ms, from a slow
+# replica every 150 ms, and pause for about 0.4 s while it loads weights.
 STALL_TIMEOUT_S = 0.8
--- a/packages/gateway/anvilwell_gateway/fair_sharing.py
+++ b/packages/gateway/anvilwell_gateway/fair_sharing.py
@@ -1,4 +1,4 @@
-"""Keeps the shares of organisations while a service is short of places."""
+"""Limits organisations to their shares while a service lacks slots."""
 
 import asyncio
 import collections
@@ -14,14 +14,14 @@
 
 
 class FairShareLimiter:
-    """Lets live calls in by the `fair_shares.FairShares` of their service.
+    """Admits live calls by the `fair_shares.FairShares` of their service.
 
-    Where the configuration knows no organisations nobody is kept back.
+    All calls are admitted if the configuration has no organisations.
 
     Parameters
     ----------
     configuration : configuration.ConfigurationFollower
-        Says whether there are organisations.
+        The organisations and priorities in force.
     directory : directory.Directory
         The replicas of each service.
     """
@@ -32,7 +32,7 @@
         self._shares_by_service = collections.defaultdict(
             fair_shares.FairShares
         )
-        # The configuration that the highest priority was found in.
+        # The configuration for which the highest priority was computed.
         self._priorities_of = None
         self._highest_priority = 0
 
@@ -46,12 +46,17 @@
 
     @contextlib.contextmanager
     def admit(self, attempt):
-        """Count `attempt`, an `attempts.Attempts`, while it is under way.
+        """Count a call against its organisation's share while it runs.
+
+        Parameters
+        ----------
+        attempt : attempts.Attempts
+            The call.
 
         Raises
         ------
         exceptions.Refused
-            If its organisation has its share of a service that is short.
+            If the service lacks slots and the organisation uses its share.
         """
         if not self._configuration.organisations.are_known:
             yield
@@ -61,7 +66,7 @@
         weight = self._weight(attempt.priority)
         if not kept.begin(attempt.organisation, now, weight):
             raise exceptions.Refused(
-                "the organisation has its share of the places",
+                "the organisation uses its whole share of the slots",
                 reason=reasons.Refusal.OVER_SHARE,
             )
         is_answered = False
@@ -72,7 +77,7 @@
             kept.end(attempt.organisation, is_answered)
 
     def record_refusal(self, replica):
-        """Take in that a replica had no room for a call."""
+        """Record that a replica refused a call for lack of capacity."""
         if not self._configuration.organisations.are_known:
             return
         kept = self._shares_by_service[replica.service]
--- a/packages/gateway/anvilwell_gateway/live_calls.py
+++ b/packages/gateway/anvilwell_gateway/live_calls.py
@@ -1,4 +1,4 @@
-"""The live calls of an entry: who may send them, and their way."""
+"""Answers the live calls of an entry: admission, forwarding and usage."""
 
 from anvilwell_gateway import admission
 from anvilwell_gateway import crash_tracker
@@ -7,16 +7,16 @@
 
 
 class LiveCalls:
-    """Answers calls by replicas, and counts them for usage reports.
+    """Forwards live calls to replicas, and counts them for usage reports.
 
     Parameters
     ----------
     settings : config.Settings
-        How keys are checked, and whether usage is reported.
+        Says how keys are checked, and whether usage is reported.
     platform : platforms.Platform
         The adapter to the platform.
     fleet : fleet.Fleet
-        What is known.
+        The configuration, replicas and other entries as followed here.
     pool : client.Pool
         Connections to replicas.
     """
@@ -50,7 +50,7 @@
 
     @classmethod
     def from_config(cls, settings, platform, fleet, pool, peer_server):
-        """Return what the settings ask for; peers tell it by `peer_server`."""
+        """Build live calls whose requests from peers `peer_server` passes."""
         live_calls = cls(settings, platform, fleet, pool)
         peer_server.handle(reports.TARGET, live_calls.usage.answer)
         for target in crash_tracker.TARGETS:
@@ -58,21 +58,21 @@
         return live_calls
 
     async def answer(self, route, call, request, responder):
-        """Answer `request`, which `route` allows, through `responder`."""
+        """Forward `request` by `route` and answer it through `responder`."""
         if route.is_stream:
             await self.forwarder.stream(route, call, request, responder)
         else:
             await self.forwarder.forward(route, call, request, responder)
 
     def start(self):
-        """Begin to count and report."""
+        """Start to count calls and report usage."""
         self.usage.start()
 
     async def stop(self):
-        """Tell and report no more."""
+        """Stop the crash notifications and usage reports."""
         await self.crash_tracker.stop()
         await self.usage.stop()
 
     def gauge_values(self):
-        """Return each `measures.GaugeValue` as of now."""
+        """Return the current `measures.GaugeValue` list of live calls."""
         return [*self.crash_tracker.gauge_values(), *self.usage.gauge_values()]
--- a/packages/gateway/anvilwell_gateway/live_keys.py
+++ b/packages/gateway/anvilwell_gateway/live_keys.py
@@ -1,4 +1,7 @@
-"""The live keys: which VMs of ours are there, as the store has it."""
+"""Reads live keys, under which VMs of the gateway register in the store.
+
+A live key is bound to its VM's lease, so it vanishes when the VM is lost.
+"""
 
 import typing
 
@@ -17,10 +20,11 @@
 
 
 class LiveKeyValue(typing.NamedTuple):
-    """What a live key says; ``peers`` is where its VM helps others.
+    """The value of a live key.
 
-    ``capacity`` is what it can process, in cores, and ``link_mbps`` what
-    its link carries, in Mbit/s, 0 if it does not know.
+    ``peers`` is the address at which the VM answers other VMs. ``capacity``
+    is the processing capacity of the VM, in cores, and ``link_mbps`` the
+    bandwidth of its link, in Mbit/s, 0 if unknown.
     """
 
     incarnation: str
@@ -34,17 +38,17 @@
 
 
 class LiveKeys:
-    """The `LiveKeyValue` of each VM that is there, as by_vm."""
+    """The `LiveKeyValue` of each registered VM, in ``by_vm``."""
 
     def __init__(self):
         self.by_vm = {}
 
     def load(self, entries_by_key):
-        """Take all keys that are there now."""
+        """Replace all values by those read from the store."""
         self.by_vm = read_all(entries_by_key)
 
     def change(self, change):
-        """Take one change of a live key; return its VM."""
+        """Apply one change of a live key; return the id of its VM."""
         vm_id = change.key.removeprefix(PREFIX)
         self.by_vm.pop(vm_id, None)
         live = change.value and _read(change.key, change.value)
@@ -54,12 +58,12 @@
 
     @property
     def incarnations_by_vm(self):
-        """The life of each VM."""
+        """The incarnation of each VM, by VM id."""
         return incarnations(self.by_vm)
 
     @property
     def addresses_by_vm(self):
-        """Where each VM helps others."""
+        """The address at which each VM answers other VMs, by VM id."""
         return {
             vm_id: options.parse_address(live.peers)
             for vm_id, live in self.by_vm.items()
@@ -67,7 +71,7 @@
 
     @property
     def candidates_by_vm(self):
-        """Each VM as a `neighbours.Candidate`."""
+        """A `neighbours.Candidate` for each VM, by VM id."""
         addresses_by_vm = self.addresses_by_vm
         return {
             vm_id: neighbours.Candidate(
@@ -78,7 +82,7 @@
 
 
 def read_all(entries_by_key):
-    """Return the `LiveKeyValue` in each live key, as live_by_vm."""
+    """Return the readable `LiveKeyValue` of each live key, by VM id."""
     read_by_vm = {
         key.removeprefix(PREFIX): _read(key, entry.value)
         for key, entry in entries_by_key.items()
@@ -88,7 +92,7 @@
 
 
 def incarnations(live_by_vm):
-    """Return the life of each VM, as incarnations_by_vm."""
+    """Return the incarnation of each VM, by VM id."""
     return {vm_id: live.incarnation for vm_id, live in live_by_vm.items()}
 
 
--- a/packages/gateway/anvilwell_gateway/measures.py
+++ b/packages/gateway/anvilwell_gateway/measures.py
@@ -1,4 +1,4 @@
-"""What a gateway process measures: times of its work, and its beliefs."""
+"""The metrics of a gateway process: histograms, counters and gauges."""
 
 import typing
 
@@ -9,7 +9,7 @@
 LIVE_CALLS = _METER.create_histogram(
     "anvilwell_live_call_duration",
     unit="s",
-    description="Time until a live call is answered, by route and status",
+    description="Time to the end of a live call, by route and status",
 )
 SUBMISSIONS = _METER.create_histogram(
     "anvilwell_submission_duration",
@@ -19,12 +19,12 @@
 RUNS = _METER.create_histogram(
     "anvilwell_item_run_duration",
     unit="s",
-    description="Time of one run of an item at a replica, by its end",
+    description="Time of one run of an item at a replica, by how it ended",
 )
 SCORINGS = _METER.create_histogram(
     "anvilwell_scoring_duration",
     unit="s",
-    description="Time of one round of attempts at a score, by its end",
+    description="Time of one round of scoring attempts, by how it ended",
 )
 STORE_CALLS = _METER.create_histogram(
     "anvilwell_store_call_duration",
@@ -34,40 +34,40 @@
 MOVES = _METER.create_counter(
     "anvilwell_item_moves",
     unit="1",
-    description="Items that moved and are whole, by whether that saved time",
+    description="Completed items that moved, by whether that saved time",
 )
 MOVES_SAVED_S = _METER.create_up_down_counter(
     "anvilwell_item_moves_saved",
     unit="s",
-    description="Seconds that moves saved, less those that they cost",
+    description="Seconds that moves of items saved, less those they cost",
 )
 GAUGES_BY_NAME = {
     name: _METER.create_gauge(f"anvilwell_{name}", description=description)
     for name, description in (
         ("configuration_version", "Version of the configuration in force"),
-        ("configuration_age_s", "Seconds since that version was taken"),
-        ("registered", "Whether the live key is believed to be there"),
+        ("configuration_age_s", "Seconds since that version was adopted"),
+        ("registered", "Whether this VM's live key is in the store"),
         ("store_in_touch", "Whether the store answered lately"),
-        ("store_through_peer", "Whether the store is called by a peer"),
-        ("peers", "Entries that are known to live"),
-        ("replicas", "Replicas that may take new work, by service"),
+        ("store_through_peer", "Whether a peer relays calls to the store"),
+        ("peers", "Live entries"),
+        ("replicas", "Replicas that accept new work, by service"),
         ("batches", "Batches that this entry owns"),
-        ("bytes_held", "Bytes held for callers and peers that read slowly"),
-        ("items_waiting", "Items of those that wait for a replica"),
-        ("items_running", "Items of those that run"),
-        ("places_borrowed", "Places of replicas that other homes lend it"),
-        ("places_lent", "Places of replicas that it lends other homes"),
-        ("items_unscored", "Items of those whose text waits for a score"),
-        ("requests_held_back", "Requests held back as they end replicas"),
+        ("bytes_held", "Bytes buffered for slow callers and peers"),
+        ("items_waiting", "Items of these batches that wait for a replica"),
+        ("items_running", "Items of these batches that run"),
+        ("places_borrowed", "Replica slots borrowed from other homes"),
+        ("places_lent", "Replica slots lent to other homes"),
+        ("items_unscored", "Items of these batches that wait for a score"),
+        ("requests_held_back", "Requests held back as they crash replicas"),
         ("reports_usage", "Whether this entry reports usage"),
-        ("reports_unsent", "Recorded windows that are not reported"),
-        ("versions_wanted", "Newest version that was asked for, by model"),
+        ("reports_unsent", "Recorded usage windows not reported yet"),
+        ("versions_wanted", "Newest version requested, by model"),
     )
 }
 
 
 class GaugeValue(typing.NamedTuple):
-    """One value that a process goes by now; ``of`` tells of what."""
+    """The current value of a gauge; ``of`` is its label, "" for none."""
 
     name: str
     value: float
@@ -80,13 +80,13 @@
 
 
 def set_gauges(values):
-    """Set the gauges to each `GaugeValue`."""
+    """Set each gauge to its `GaugeValue`."""
     for value in values:
         labels = {"of": value.of} if value.of else {}
         GAUGES_BY_NAME[value.name].set(value.value, labels)
 
 
 def count_move(gained_s):
-    """Count an item that moved, and what that saved, in seconds."""
+    """Count a completed item that moved, and the seconds that it gained."""
     MOVES.add(1, {"end": "gained" if gained_s > 0 else "lost"})
     MOVES_SAVED_S.add(gained_s)
--- a/packages/gateway/anvilwell_gateway/metrics_page.py
+++ b/packages/gateway/anvilwell_gateway/metrics_page.py
@@ -1,4 +1,4 @@
-"""Serves the metrics of one process."""
+"""Serves the metrics page of one process."""
 
 from anvilwell_gateway import aborting
 from anvilwell_gateway.http import server as servers
@@ -9,14 +9,14 @@
 
 
 class MetricsPage(servers.Server):
-    """The page that a collector reads.
+    """An HTTP server for the page that a metrics collector scrapes.
 
     Parameters
     ----------
     section : config.MetricsSection
-        Where to listen, and the page's path.
+        The address to listen on, and the path of the page.
     gauge_values : callable
-        Returns each `measures.GaugeValue` of the process as of now.
+        Returns the current `measures.GaugeValue` list of the process.
     """
 
     def __init__(self, section, gauge_values):
@@ -25,7 +25,7 @@
         self._gauge_values = gauge_values
 
     async def stop(self):
-        """Answer what was read, and close everything."""
+        """Answer the requests received, and close all connections."""
         await aborting.RequestAborter(self).abort()
         await super().stop()
 
--- a/packages/gateway/anvilwell_gateway/peer_calls.py
+++ b/packages/gateway/anvilwell_gateway/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls between our own processes, and their bodies."""
+"""Calls between processes of the gateway, with bodies in CBOR."""
 
 import typing
 
@@ -10,19 +10,19 @@
 
 
 class CallLimits(typing.NamedTuple):
-    """How long an answer may take, in seconds, and how many bytes."""
+    """Limits of a response: its time, in seconds, and its size, in bytes."""
 
     timeout_s: float
     max_bytes: int
 
 
 async def call(pool, vm_id, address, target, content, limits):
-    """Return the body of the answer of the process on another VM.
+    """Send `content` to the process on another VM; return the response body.
 
     Raises
     ------
     exceptions.BackendFailed
-        If there is none, or its status is not 200.
+        If there is no whole response, or its status is not 200.
     """
     reply, body = await pool.call(
         vm_id, address, build_request(target, address, content), *limits
@@ -33,18 +33,27 @@
 
 
 def build_request(target, address, content):
-    """Return the request that asks the process at `address`."""
+    """Return a POST request that holds `content` as CBOR."""
     host = ("Host", str(address))
     return messages.Request("POST", target, (host,), cbor2.dumps(content))
 
 
 def decode(adapter, body, what):
-    """Return what a request's body holds, checked by a type `adapter`.
+    """Decode a CBOR body and validate it.
+
+    Parameters
+    ----------
+    adapter : pydantic.TypeAdapter
+        Validates and converts the decoded value.
+    body : bytes
+        The CBOR body.
+    what : str
+        What the body should hold, for the error message.
 
     Raises
     ------
     exceptions.BadRequest
-        If it holds no `what`.
+        If the body is not CBOR or fails the validation.
     """
     try:
         return adapter.validate_python(cbor2.loads(body))
--- a/packages/gateway/anvilwell_gateway/tasks.py
+++ b/packages/gateway/anvilwell_gateway/tasks.py
@@ -1,4 +1,4 @@
-"""Ends tasks of this process, and tells of those that had failed."""
+"""Cancels tasks, and logs those that had failed."""
 
 import asyncio
 
@@ -10,15 +10,15 @@
 async def stop(*tasks, cause=None):
     """Cancel tasks and wait for their end.
 
-    One that had failed before, or fails as it is cancelled, leaves a line in
-    the log: nobody else asks for its outcome.
+    A task that failed before, or fails when it is cancelled, is logged, as
+    its exception would be lost otherwise.
 
     Parameters
     ----------
     *tasks : asyncio.Task or None
-        None is no task.
+        The tasks; each None is ignored.
     cause : str, optional
-        What those that are cancelled are told.
+        The message of the `asyncio.CancelledError`.
     """
     tasks = [task for task in tasks if task is not None]
     for task in tasks:
--- a/packages/gateway/anvilwell_gateway/timers.py
+++ b/packages/gateway/anvilwell_gateway/timers.py
@@ -1,15 +1,15 @@
-"""One look at a time, now or later."""
+"""A timer that can be rescheduled."""
 
 import asyncio
 
 
 class Timer:
-    """Calls `callback` once, at the time that was asked for last.
+    """Calls `callback` once, at the time that was scheduled last.
 
     Parameters
     ----------
     callback : callable
-        Takes nothing.
+        Called without arguments.
     """
 
     def __init__(self, callback):
@@ -18,21 +18,25 @@
         self._at = 0.0
 
     def schedule_soon(self):
-        """Look once after all that happens now, such as many ends."""
+        """Call back in the next iteration of the event loop.
+
+        Events of this iteration, such as many runs that end together, share
+        one call.
+        """
         self.cancel()
         loop = asyncio.get_running_loop()
         self._at = loop.time()
         self._handle = loop.call_soon(self._fire)
 
     def schedule_in(self, delay_s):
-        """Look after so many seconds."""
+        """Call back after `delay_s` seconds."""
         self.cancel()
         loop = asyncio.get_running_loop()
         self._at = loop.time() + delay_s
         self._handle = loop.call_later(delay_s, self._fire)
 
     def schedule_within(self, delay_s):
-        """Look after so many seconds, or sooner if that is planned."""
+        """Call back after `delay_s` seconds, or sooner if so scheduled."""
         now = asyncio.get_running_loop().time()
         if self._handle is None or self._at > now + delay_s:
             self.schedule_in(delay_s)
@@ -42,7 +46,7 @@
         self._callback()
 
     def cancel(self):
-        """Do not look."""
+        """Cancel the scheduled call, if there is one."""
         if self._handle:
             self._handle.cancel()
             self._handle = None
--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -1,10 +1,12 @@
-"""Asks which entry may try a request that has ended replicas.
-
-Two entries, chosen by the request's fingerprint, know the trial under way;
-the others ask both, a message before and one after. One that has left or has
-just come moves only one of the two, so whoever asks meanwhile, or knows other
-entries, still asks one that knows. Where they can't be asked, the request
-waits: its pause grows by what a lease or a cut link takes.
+"""Decides which entry may try a request that has crashed replicas.
+
+Two entries, the deciders, are chosen by the request's fingerprint and record
+the trial in progress; the others ask both before a trial and notify both
+after it. An entry that leaves or joins replaces only one of the two deciders.
+So an entry that asks during the change, or has another list of entries,
+still asks one decider that has recorded the trial. While a decider can't be
+reached the request waits, for as long as a lease takes to lapse or a broken
+link to be repaired.
 """
 
 import asyncio
@@ -24,14 +26,15 @@
 
 TARGET = "/trials"
 DECIDERS = 2
-# An entry answers within milliseconds, and the caller's time runs.
+# An entry answers within milliseconds, and the caller is waiting.
 LIMITS = peer_calls.CallLimits(timeout_s=0.2, max_bytes=4 << 10)
 
 
 class TrialRequest(typing.NamedTuple):
-    """That `trier` wants to try a request, or is done with it.
+    """Asks for a trial of a request, or reports that it is over.
 
-    ``replica_ids`` are all that it knows to have ended under the request.
+    ``trier`` identifies the trial: its VM and a number. ``replica_ids`` are
+    all replicas that the VM has recorded as crashed under the request.
     """
 
     fingerprint: str
@@ -52,22 +55,22 @@
     Raises
     ------
     exceptions.BadRequest
-        If it holds none.
+        If the body can't be decoded.
     """
     return peer_calls.decode(_TRIAL_REQUEST, body, "trial")
 
 
 class Trials:
-    """Asks for trials, and grants them where this entry decides.
+    """Requests trials, and grants them where this entry is a decider.
 
     Parameters
     ----------
     vm_id : str
-        This VM.
+        The id of this VM.
     news : news.News
         The entries that live, and where.
     quarantine : quarantine.Quarantine
-        What has ended under which request.
+        The replicas that crashed under each request.
     """
 
     def __init__(self, vm_id, news, quarantine):
@@ -82,7 +85,7 @@
 
     @contextlib.asynccontextmanager
     async def trial(self, fingerprint):
-        """Give how long a request must wait, 0 if it may be tried now."""
+        """Yield how long a request must wait, in seconds, 0 to try it now."""
         trier = f"{self._vm_id}/{next(self._numbers)}"
         granted = []
         try:
@@ -93,10 +96,11 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _begin(self, fingerprint, trier, granted):
-        """Return how long to wait, in seconds.
+        """Ask the deciders for a trial; return how long to wait, in seconds.
 
-        Who grants the trial is added to `granted`. All ask the first one
-        first: of two that ask at once one gets both.
+        The deciders that grant it are added to `granted`. All entries ask
+        them in the same order, so that one of two that ask at the same time
+        is granted the trial by both.
         """
         for decider in self._deciders(fingerprint):
             wait_s = await self._ask_decider(
@@ -108,19 +112,19 @@
         return 0.0
 
     async def _end(self, fingerprint, trier, granted):
-        """Tell those that granted a trial that it is over."""
+        """Notify the deciders that granted a trial that it is over."""
         for decider in granted:
             await self._ask_decider(decider, fingerprint, trier, True)
 
     def _deciders(self, fingerprint):
-        """Return who decides, this entry alone if it knows no other."""
+        """Return the ids of the deciders, this VM if no entry is known."""
         vm_ids = choice.ranked(
             f"try {fingerprint}", self._news.addresses_by_vm
         )
         return vm_ids[:DECIDERS] or [self._vm_id]
 
     async def _ask_decider(self, decider, fingerprint, trier, is_over):
-        """Return how long one decider has the request wait, in seconds."""
+        """Return the wait that one decider answers with, in seconds."""
         replica_ids = self._quarantine.replica_ids(fingerprint)
         request = TrialRequest(
             fingerprint, trier, is_over, tuple(sorted(replica_ids))
@@ -145,7 +149,7 @@
             return trials.RETRY_WAIT_S
 
     def decide(self, request):
-        """Return how long a `TrialRequest` must wait, in seconds."""
+        """Answer a `TrialRequest` with how long to wait, in seconds."""
         now = self._loop.time()
         fingerprint = request.fingerprint
         self._quarantine.add_crashes(fingerprint, request.replica_ids, now)
@@ -156,6 +160,6 @@
         return wait_s or self._trials.begin(fingerprint, request.trier, now)
 
     async def stop(self):
-        """Tell nobody more."""
+        """Cancel the notifications in progress and close the connections."""
         await tasks.stop(*self._tasks)
         self._pool.close()
