--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -212,7 +212,7 @@
         return [
             *self.fleet.gauge_values(),
             *self._batches.manager.gauge_values(),
-            *self._batches.sharing.gauge_values(),
+            *self._batches.slot_sharing.gauge_values(),
             *self.live_calls.gauge_values(),
             measures.GaugeValue("bytes_held", self._budget.held_bytes),
         ]
