--- a/packages/gateway/anvilwell_gateway/http/__init__.py
+++ b/packages/gateway/anvilwell_gateway/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on one event loop; h11 keeps the protocol's rules."""
+"""An HTTP/1.1 client and server for asyncio, with h11 as the protocol."""
--- a/packages/gateway/anvilwell_gateway/http/client.py
+++ b/packages/gateway/anvilwell_gateway/http/client.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP/1.1: one request at a time on each connection."""
+"""An HTTP/1.1 client with a connection pool; requests are not pipelined."""
 
 import asyncio
 import collections
@@ -13,36 +13,53 @@
 from anvilwell_kernel import reasons
 from anvilwell_kernel import verdict as verdicts
 
+# Limit of one read from the socket, in bytes.
 READ_BYTES = 64 << 10
+# Limit of a response head, in bytes.
 MAX_HEAD_BYTES = 64 << 10
-# A healthy peer accepts within a few round trips; a lost opening packet
-# is sent again after a second, so waiting longer seldom helps.
+# Time limit for opening a connection, in seconds. A healthy peer accepts
+# within a few round trips. TCP resends a lost SYN only after a second, so
+# waiting longer seldom helps.
 CONNECT_TIMEOUT_S = 0.5
-# Kept connections are dropped this long before the peer would.
+# How long before the peer would close an idle connection it is discarded
+# here, in seconds.
 KEEP_ALIVE_MARGIN_S = 1.0
-# For peers that do not say how long they keep an idle connection.
+# How long peers keep an idle connection if they send no Keep-Alive header,
+# in seconds.
 DEFAULT_KEEP_ALIVE_S = 4.0
+# Limit of the idle connections that are kept for one peer.
 MAX_IDLE_PER_PEER = 32
-# A connection whose peer answers no probe is broken after three seconds:
-# a waiting watch would otherwise hang for its 17 s on a path that is cut.
+# Socket options by which a connection fails after three seconds without a
+# reply to TCP keepalive probes. Otherwise a watch on a broken path would
+# hang for its whole 17 s.
 _KEEPALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
-    # In milliseconds: the same for bytes that nobody acknowledges.
+    # In milliseconds; the same limit for sent data that is not acknowledged.
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 3000),
 )
 
 
 def call_error(message, reason=reasons.Refusal.BACKEND_FAILED, verdict=None):
-    """Return the error of a call that brought no whole answer."""
+    """Return the `BackendFailed` for a call without a whole response.
+
+    Parameters
+    ----------
+    message : str
+        What went wrong.
+    reason : reasons.Refusal, optional
+        The reason that is reported to the caller.
+    verdict : verdict.Verdict, optional
+        Whether the request may have run; by default it may.
+    """
     verdict = verdict or verdicts.Verdict.MAY_HAVE_RUN
     return exceptions.BackendFailed(message, reason=reason, verdict=verdict)
 
 
 class Connection:
-    """One connection to one peer."""
+    """A connection to one peer, for one request at a time."""
 
     def __init__(self, reader, writer):
         self._reader = reader
@@ -57,12 +74,22 @@
     async def open(
         cls, address, timeout_s=CONNECT_TIMEOUT_S, use_keepalive=False
     ):
-        """Connect to `address`; a probed peer may not go silent.
+        """Open a connection to `address`.
+
+        Parameters
+        ----------
+        address : options.Address
+            The peer's address.
+        timeout_s : float
+            Time limit, in seconds.
+        use_keepalive : bool
+            Whether the connection fails if the peer stops answering TCP
+            keepalive probes.
 
         Raises
         ------
         exceptions.BackendFailed
-            With verdict ``NOT_RUN``: nothing was sent.
+            With verdict ``NOT_RUN``, as nothing was sent.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -82,8 +109,8 @@
         return cls(reader, writer)
 
     def send(self, method, target, headers, body=b""):
-        """Write a whole request; its answer may come before its end."""
-        # A peer is owed a length, also for an empty body.
+        """Write a whole request without waiting until it is sent."""
+        # An empty body needs a length too, except for methods without one.
         length = ("Content-Length", str(len(body)))
         headers = messages.without(headers, {"content-length"})
         if body or method not in ("GET", "HEAD", "DELETE"):
@@ -100,17 +127,17 @@
         )
 
     async def read_head(self):
-        """Return the `messages.Reply` that begins the answer."""
+        """Return the response's head as a `messages.Reply`."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
                 headers = messages.decode_headers(event.headers)
                 return messages.Reply(event.status_code, headers)
             if not isinstance(event, h11.InformationalResponse):
-                raise call_error("the answer has no head")
+                raise call_error("the response has no head")
 
     async def read_chunk(self):
-        """Return the next bytes of the body, b"" at its end."""
+        """Return the next bytes of the response body, b"" at its end."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.EndOfMessage):
@@ -119,14 +146,14 @@
                 return bytes(event.data)
 
     async def read_body(self, max_bytes):
-        """Return the rest of the body, of at most `max_bytes`."""
+        """Return the rest of the response body, of at most `max_bytes`."""
         parts = []
         size = 0
         while part := await self.read_chunk():
             parts.append(part)
             size += len(part)
             if size > max_bytes:
-                raise call_error(f"the answer is over {max_bytes} bytes")
+                raise call_error(f"the response is over {max_bytes} bytes")
         return b"".join(parts)
 
     async def _next_event(self):
@@ -139,12 +166,22 @@
                 self._conn.receive_data(data)
             except (h11.RemoteProtocolError, OSError) as error:
                 raise call_error(
-                    f"the answer is broken: {error}",
+                    f"the response broke off: {error}",
                     reasons.Refusal.ANSWER_CUT,
                 ) from error
 
     def end_cycle(self, reply, now, default_keep_alive_s=DEFAULT_KEEP_ALIVE_S):
-        """Get ready for another request; return whether it may come."""
+        """Prepare for another request; return False if none may follow.
+
+        Parameters
+        ----------
+        reply : messages.Reply
+            The head of the response that was read; may hold Keep-Alive.
+        now : float
+            The current time, in seconds.
+        default_keep_alive_s : float
+            How long the peer keeps an idle connection if it does not say.
+        """
         conn = self._conn
         is_done = conn.our_state is h11.DONE and conn.their_state is h11.DONE
         if not is_done or conn.trailing_data[0]:
@@ -157,11 +194,11 @@
         return keep_alive_s > 0
 
     def watch_idle(self, on_event):
-        """Call `on_event` if the peer closes or says anything unasked."""
+        """Call `on_event` if the idle peer closes or sends anything."""
         self._idle_watch = asyncio.create_task(self._wait_idle(on_event))
 
     async def stop_watching(self):
-        """End the idle watch; return whether the peer stayed silent."""
+        """End the idle watch; return whether the peer sent nothing."""
         watch, self._idle_watch = self._idle_watch, None
         if watch is None:
             return True
@@ -176,14 +213,14 @@
         on_event(self)
 
     def close(self):
-        """Close at once; the peer sees that nobody waits any more."""
+        """Reset the connection, which tells the peer to stop its work."""
         if self._idle_watch:
             self._idle_watch.cancel()
         self._writer.transport.abort()
 
 
 def _keep_alive_s(reply, default_s):
-    """Return how long the peer keeps the connection when idle."""
+    """Return how long the peer keeps an idle connection, in seconds."""
     stated = messages.find(reply.headers, "keep-alive")
     pairs = (part.strip().partition("=") for part in stated.split(","))
     values = [value for name, _, value in pairs if name == "timeout"]
@@ -193,21 +230,21 @@
 
 
 class Pool:
-    """Keeps idle connections by peer.
+    """A pool of connections, with idle ones kept by peer.
 
-    A peer's key names its process, not only its address, so that no
-    connection outlives the process that it was opened to.
+    The key of a peer names its process and not only its address, so that a
+    connection is not reused for the next process at the same address.
 
     Parameters
     ----------
     clock : callable
         Returns monotonic time, in seconds.
     use_keepalive : bool
-        Whether peers are probed while they are silent. Those that may
-        stand still and then go on with a request must not be.
+        Whether to send TCP keepalive probes. Must be False for peers that
+        may be suspended and then continue with a request.
     default_keep_alive_s : float
-        How long peers that do not say so keep an idle connection, in
-        seconds.
+        How long peers that send no Keep-Alive header keep an idle
+        connection, in seconds.
     """
 
     def __init__(
@@ -222,7 +259,7 @@
         self._idle_by_key = collections.defaultdict(collections.deque)
 
     async def acquire(self, key, address, timeout_s=CONNECT_TIMEOUT_S):
-        """Return an idle connection of `key`, or a new one."""
+        """Return an idle connection of the peer `key`, or open a new one."""
         idle = self._idle_by_key[key]
         while idle:
             connection = idle.pop()
@@ -233,15 +270,32 @@
         return await Connection.open(address, timeout_s, self._use_keepalive)
 
     async def call(self, key, address, request, timeout_s, max_bytes):
-        """Send a `messages.Request`; return its `Reply` and whole body.
-
-        After a timeout the idle connections go too: those of a peer that
-        is cut off stay silent, and each would cost another timeout.
+        """Send a request; return the response's head and its whole body.
+
+        A timeout also closes the idle connections of the peer: if it is
+        unreachable, each of them would cost another timeout.
+
+        Parameters
+        ----------
+        key : str
+            Identifies the peer's process.
+        address : options.Address
+            The peer's address.
+        request : messages.Request
+            The request.
+        timeout_s : float
+            Time limit of the whole call, in seconds.
+        max_bytes : int
+            Limit of the response body.
+
+        Returns
+        -------
+        tuple of messages.Reply and bytes
 
         Raises
         ------
         exceptions.BackendFailed
-            With ``NOT_RUN`` only if nothing was sent.
+            With verdict ``NOT_RUN`` only if nothing was sent.
         """
         connection = None
         try:
@@ -262,13 +316,17 @@
                 raise
             self.forget(key)
             verdict = None if connection else verdicts.Verdict.NOT_RUN
-            message = f"no answer in {timeout_s:g} s"
+            message = f"no response in {timeout_s:g} s"
             raise call_error(message, verdict=verdict) from error
         self.release(key, connection, reply)
         return reply, body
 
     def release(self, key, connection, reply):
-        """Keep `connection` for another request if its peer will."""
+        """Keep `connection` for another request, or close it.
+
+        It is closed if the peer does not keep it open, or if
+        `MAX_IDLE_PER_PEER` are idle already.
+        """
         idle = self._idle_by_key[key]
         may_follow = connection.end_cycle(
             reply, self._clock(), self._default_keep_alive_s
@@ -287,7 +345,7 @@
         connection.close()
 
     def forget(self, key):
-        """Close the idle connections of `key`."""
+        """Close the idle connections of the peer `key`."""
         for connection in self._idle_by_key.pop(key, ()):
             connection.close()
 
--- a/packages/gateway/anvilwell_gateway/http/listening.py
+++ b/packages/gateway/anvilwell_gateway/http/listening.py
@@ -1,36 +1,43 @@
 """Opens listening sockets before the rest of the program is loaded.
 
 Loading takes about 0.45 s on an entry's VM. Callers that connect meanwhile
-wait in the backlog; without a listener their connections are reset, and
-those who try once more are mostly reset again. Imports nothing but the
-standard library, and little of that.
+wait in the backlog of the listening socket. Without one their connections
+are reset, and most of their retries as well. To be fast itself, this module
+imports little, and only from the standard library.
 """
 
 import configparser
 import socket
 import typing
 
+# Limit of connections that wait to be accepted.
 BACKLOG = 512
 _SECTION = "entry"
 _KEYS = ("listen", "ready")
 
 
 class EarlyListeners(typing.NamedTuple):
-    """Listening sockets by address, and why there are fewer than asked.
+    """Listening sockets by address, and the problems in opening them.
 
-    What is wrong with the settings is told in full once they are loaded.
+    Problems of the settings are reported in full when the rest of the
+    program loads them.
     """
 
     sockets_by_address: dict
     problems: tuple = ()
 
     def take(self, address):
-        """Return the socket that listens on `address`, or None."""
+        """Remove and return the socket that listens on `address`, or None."""
         return self.sockets_by_address.pop(str(address), None)
 
 
 def open_early(path):
-    """Return the `EarlyListeners` of an entry with settings at `path`."""
+    """Open the listening sockets of the entry whose settings are at `path`.
+
+    Returns
+    -------
+    EarlyListeners
+    """
     settings = configparser.ConfigParser(interpolation=None)
     sockets_by_address = {}
     try:
--- a/packages/gateway/anvilwell_gateway/http/messages.py
+++ b/packages/gateway/anvilwell_gateway/http/messages.py
@@ -1,4 +1,4 @@
-"""What a server has read and what a client has been answered."""
+"""HTTP requests and response heads, and functions on their headers."""
 
 import typing
 
@@ -9,11 +9,12 @@
 
 
 class Request(typing.NamedTuple):
-    """One whole request; ``received_at`` is the time its head came.
+    """A whole HTTP request.
 
-    ``received_at`` is in seconds of the event loop's clock; ``caller`` is
-    the IP address that it came from, "" if it is our own.
-    ``organisation`` names who sends it, "" for nobody in particular.
+    ``received_at`` is the time at which its head arrived, in seconds of the
+    event loop's clock. ``caller`` is the IP address that it came from, "" if
+    the gateway made it. ``organisation`` is the caller's organisation, "" if
+    none is known.
     """
 
     method: str
@@ -26,31 +27,31 @@
 
     @property
     def path(self):
-        """The target without its query."""
+        """The request target without its query."""
         return self.target.partition("?")[0]
 
     @property
     def host(self):
-        """The host's name in lower case, without a port."""
+        """The host name of the Host header in lower case, without a port."""
         return find(self.headers, "host").partition(":")[0].lower()
 
 
 class Reply(typing.NamedTuple):
-    """The head of an answer."""
+    """The head of a response: its status and headers."""
 
     status: int
     headers: Headers
 
 
 def find(headers, name, default=""):
-    """Return the first value of header `name`, in any case."""
+    """Return the first value of header `name`, whose case is ignored."""
     wanted = name.lower()
     values = (value for key, value in headers if key.lower() == wanted)
     return next(values, default)
 
 
 def fingerprint(request):
-    """Return what is the same each time a `Request` is sent."""
+    """Return a hash that is the same each time a `Request` is sent."""
     return fingerprints.fingerprint(
         request.method,
         request.host,
@@ -67,12 +68,12 @@
 
 
 def without(headers, names):
-    """Return `headers` less those called one of `names` (lower case)."""
+    """Return `headers` except those in `names`, given in lower case."""
     return tuple(pair for pair in headers if pair[0].lower() not in names)
 
 
 def end_to_end(headers):
-    """Return `headers` less those that concern one connection only."""
+    """Return `headers` without the hop-by-hop ones."""
     named = {
         name.strip().lower() for name in find(headers, "connection").split(",")
     }
@@ -80,7 +81,7 @@
 
 
 def decode_headers(pairs):
-    """Return `Headers` of h11's header list, in the sender's case."""
+    """Convert h11's headers to `Headers`, keeping the sender's case."""
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in pairs.raw_items()
@@ -88,7 +89,7 @@
 
 
 def encode_headers(headers):
-    """Return `headers` as h11 takes them."""
+    """Convert `Headers` to a list of byte pairs for h11."""
     return [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in headers
--- a/packages/gateway/anvilwell_gateway/http/server.py
+++ b/packages/gateway/anvilwell_gateway/http/server.py
@@ -1,4 +1,4 @@
-"""Serves HTTP/1.1 on one address; one task for each connection."""
+"""An HTTP/1.1 server on one address, with one task for each connection."""
 
 import asyncio
 import contextlib
@@ -13,18 +13,20 @@
 from anvilwell_kernel import reasons
 from anvilwell_kernel.telemetry import logs
 
+# Limit of one read from the socket, in bytes.
 READ_BYTES = 64 << 10
-# Bytes of a next request that may wait while one is served.
+# Limit of the bytes of later requests that are buffered while one is served.
 MAX_PIPELINED_BYTES = 256 << 10
-# A body goes to the connection in such parts, so that what a caller has not
-# read is in memory once.
+# A response body is written in chunks of this size, in bytes, so that data
+# which the caller has not read yet is in memory only once.
 WRITE_BYTES = 64 << 10
+# Retry-After of a 503 response that this module sends, in seconds.
 BUSY_RETRY_AFTER_S = 0.3
 
 _LOG = logs.get_logger(__name__)
 
 
-# These hold until the first configuration names others.
+# The limits for callers until the first configuration sets others.
 FIRST_LIMITS = facts.CallerLimits(
     max_header_bytes=16 << 10,
     max_body_bytes=1 << 20,
@@ -40,7 +42,7 @@
 
 
 class Responder:
-    """Sends the one answer to one request."""
+    """Sends the response to one request."""
 
     def __init__(self, conn, writer, must_close, budget):
         self._conn = conn
@@ -51,11 +53,11 @@
 
     @property
     def has_started(self):
-        """Whether a head has been sent."""
+        """Whether the response head has been sent."""
         return self.status != 0
 
     async def send(self, status, headers=(), body=b""):
-        """Send a whole answer."""
+        """Send a whole response."""
         length = ("Content-Length", str(len(body)))
         kept = messages.without(headers, {"content-length"})
         await self.start(status, (*kept, length))
@@ -64,7 +66,7 @@
         await self.finish()
 
     async def start(self, status, headers):
-        """Send the head; without a length the body goes in chunks."""
+        """Send the head; without Content-Length the body is sent chunked."""
         if await self._must_close():
             headers = (*headers, ("Connection", "close"))
         self.status = status
@@ -74,9 +76,9 @@
         self._writer.write(self._conn.send(head))
 
     async def write(self, data):
-        """Send a part of the body and wait until there is room.
+        """Write a part of the body and wait until the transport accepts it.
 
-        Until then it counts as held for the caller.
+        Until then its bytes count against the budget.
         """
         self._budget.hold(len(data))
         left = len(data)
@@ -91,7 +93,7 @@
             self._budget.release(left)
 
     async def finish(self):
-        """Send the end of the answer."""
+        """Send the end of the response."""
         end = self._conn.send(h11.EndOfMessage())
         if end:
             self._writer.write(end)
@@ -99,19 +101,20 @@
 
 
 class Server:
-    """Listens on one address.
+    """Listens on one address and handles the requests that arrive there.
 
     Parameters
     ----------
     address : options.Address
-        Where to listen.
+        The address to listen on.
     handle : callable
-        Coroutine that takes a `messages.Request` and a `Responder`. It
-        is cancelled if the caller closes its connection.
+        Coroutine function of a `messages.Request` and a `Responder`. It is
+        cancelled if the caller closes its connection.
     listener : socket.socket, optional
-        What listens there already.
+        A socket that listens on the address already.
     budget : byte_budget.ByteBudget, optional
-        What may be held for callers, here and wherever it is shared.
+        Limits the bytes that are buffered for callers; may be shared with
+        other servers.
     """
 
     def __init__(self, address, handle, listener=None, budget=None):
@@ -122,19 +125,19 @@
         self.budget = budget or byte_budget.ByteBudget()
         self._connections = set()
         self.limits = FIRST_LIMITS
-        # Whether each connection ends after the answer under way.
+        # Whether connections are closed after the response in progress.
         self.is_draining = False
-        # Whether a connection without a request ends at once.
+        # Whether idle connections are closed at once.
         self.is_finishing = False
 
     @property
     def port(self):
-        """The port that was bound."""
+        """The port that the server is bound to."""
         return self._listener.sockets[0].getsockname()[1]
 
     @property
     def in_flight(self):
-        """How many requests are under way."""
+        """The number of requests in progress."""
         return sum(one.is_serving for one in self._connections)
 
     async def start(self):
@@ -147,9 +150,9 @@
         )
 
     async def finish(self):
-        """Answer all that was read, and end each connection in order.
+        """Answer all requests received, then close each connection cleanly.
 
-        Takes as long as the handlers and the callers' reading do.
+        Takes as long as the handlers take and callers read the responses.
         """
         self.is_draining = self.is_finishing = True
         self._close_listener()
@@ -172,7 +175,7 @@
 
     async def _accept(self, reader, writer):
         if self.is_finishing:
-            # Nothing was read of it yet.
+            # Nothing of a request was read, so none is lost.
             writer.close()
             return
         connection = _Connection(self, self._handle, reader, writer)
@@ -181,14 +184,15 @@
         try:
             await connection.serve()
             writer.close()
-            # The end of an answer may still have to go out.
+            # Waits until the end of the response has been sent.
             await writer.wait_closed()
         except (
             ConnectionError,
             asyncio.CancelledError,
             exceptions.AnvilwellError,
         ):
-            # A reset: what was sent so far must not look whole.
+            # Resets the connection, so that a partial response does not look
+            # complete to the caller.
             writer.transport.abort()
         finally:
             self._connections.discard(connection)
@@ -205,7 +209,7 @@
         self._reader = reader
         self._writer = writer
         self._held_bytes = 0
-        # The limit of the wait for bytes under way, if there is one.
+        # The timeout of the read in progress, if there is one.
         self._limit = None
         self.is_serving = False
         self.task = None
@@ -215,7 +219,7 @@
         )
 
     async def serve(self):
-        """Serve requests until either side ends the connection."""
+        """Serve requests until either side closes the connection."""
         try:
             while await self._serve_one():
                 self._conn.start_next_cycle()
@@ -226,7 +230,7 @@
             self._server.budget.release(self._held_bytes)
 
     def end_idle(self):
-        """End the wait for a request, unless one is being served."""
+        """Stop waiting for a request, unless one is being served."""
         is_waiting = self._limit and not self._limit.expired()
         if is_waiting and not self.is_serving:
             self._limit.reschedule(asyncio.get_running_loop().time())
@@ -286,12 +290,12 @@
 
     async def _refuse_head(self):
         if self._server.is_finishing:
-            await self._refuse(503, "this process stops")
+            await self._refuse(503, "this process is stopping")
         else:
-            await self._refuse(408, "the head did not come in time")
+            await self._refuse(408, "timeout while reading the request head")
 
     async def _read_body(self):
-        """Return the whole body, or None after a refusal."""
+        """Return the whole request body, or None if it was refused."""
         parts = []
         size = 0
         if self._conn.they_are_waiting_for_100_continue:
@@ -304,19 +308,25 @@
             if isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > self._server.limits.max_body_bytes:
-                    return await self._refuse(413, "the body is too large")
+                    return await self._refuse(
+                        413, "the request body is too large"
+                    )
                 if not self._server.budget.try_hold(len(event.data)):
-                    return await self._refuse(503, "too much is buffered")
+                    return await self._refuse(
+                        503, "the budget for buffered bytes is used up"
+                    )
                 self._held_bytes += len(event.data)
                 parts.append(bytes(event.data))
             elif event is h11.NEED_DATA:
                 if not await self._receive(self._server.limits.idle_timeout_s):
-                    return await self._refuse(408, "the body did not come")
+                    return await self._refuse(
+                        408, "timeout while reading the request body"
+                    )
             else:
                 return None
 
     async def _receive(self, timeout_s):
-        """Feed what comes to the parser; return False on a timeout."""
+        """Feed received bytes to the parser; return False on a timeout."""
         try:
             async with asyncio.timeout(timeout_s) as self._limit:
                 data = await self._reader.read(READ_BYTES)
@@ -330,9 +340,10 @@
         return True
 
     async def _read_pending(self):
-        """Return what was read as the time ended; read nothing after it.
+        """Return bytes that arrived as the timeout expired; stop reading.
 
-        It would be lost with the connection, and nobody would know.
+        Bytes that were read but not handled would be lost when the
+        connection is closed, without any sign to the caller.
         """
         self._writer.transport.pause_reading()
         try:
@@ -363,7 +374,7 @@
 
     @staticmethod
     async def _take_result(handler, responder):
-        """Answer for a handler that failed in a way nobody foresaw."""
+        """Send 500 if the handler failed, or raise if a response has begun."""
         error = _handler_error(handler)
         if error is None:
             return
@@ -374,7 +385,7 @@
             raise error
         _LOG.log("handler-failed", cause=repr(error))
         if responder.has_started:
-            raise CallerGone("the answer can't be ended") from error
+            raise CallerGone("the response can't be completed") from error
         await responder.send(500)
 
     async def _watch(self):
@@ -392,13 +403,13 @@
         await asyncio.get_running_loop().create_future()
 
     async def _must_close(self):
-        """Return whether the connection ends after the answer.
+        """Return whether the connection closes after this response.
 
-        It does not while it holds a next request, which was read.
+        It stays open while it holds another request that was read already.
         """
         if not self._server.is_draining:
             return False
-        # The watcher takes what has come.
+        # Lets `_watch` read the bytes that have arrived.
         await asyncio.sleep(0)
         return not self._conn.trailing_data[0]
 
@@ -418,7 +429,7 @@
 
 
 def _handler_error(task):
-    """Return what a task that is over failed with, or None."""
+    """Return the exception of a finished task, or None."""
     if task.cancelled():
         return asyncio.CancelledError("the handler was cancelled")
     return task.exception()
