--- a/packages/bench/anvilwell_bench/control/rollout.py
+++ b/packages/bench/anvilwell_bench/control/rollout.py
@@ -120,7 +120,7 @@
 
     def _agent(self, vm_id, rng):
         agent = swap.Swap(vm_id, rng, -swap.UNSURE_S)
-        agent.door.learn(0)
+        agent.gate.raise_to(0)
         if self._scene.is_loaded_ahead:
             agent.read(NEW, 0.0)
         agent.read(OLD, 0.0)
--- a/packages/daemon/anvilwell_daemon/leases/lease.py
+++ b/packages/daemon/anvilwell_daemon/leases/lease.py
@@ -45,7 +45,7 @@
             If the deadline less margin has passed: do not act.
         """
         now = self._clock.monotonic() if now is None else now
-        leadership.check(self._tenure, self._session, now)
+        leadership.check_tenure(self._tenure, self._session, now)
 
     async def lost(self):
         """Return once the leadership is lost for good."""
--- a/packages/daemon/anvilwell_daemon/leases/service.py
+++ b/packages/daemon/anvilwell_daemon/leases/service.py
@@ -115,7 +115,7 @@
 
     def refused(self, name, highest):
         """Note that a door knows a number above that of `name`."""
-        self._leadership(name).refused(highest)
+        self._leadership(name).record_higher(highest)
 
     def _leadership(self, name):
         return self._leaderships_by_name.setdefault(
@@ -144,18 +144,18 @@
         snapshot = await self._read(name)
         found = snapshot.entries_by_key
         lease = self._session.lease
-        standing = candidate.stand(found, lease)
+        standing = candidate.standing(found, lease)
         if standing is leadership.Standing.OURS:
-            return candidate.tenure(found, lease)
+            return candidate.read_tenure(found, lease)
         if standing is leadership.Standing.OTHERS:
             return None
         lease = await self._live_lease()
-        writes = candidate.take(found, lease)
+        writes = candidate.takeover_writes(found, lease)
         swaps = [port.Swap(*write) for write in writes]
         result = await self._keyvalue.swap(swaps, purpose=PURPOSE)
         if not result.landed:
             return None
-        return candidate.won(writes, lease)
+        return candidate.won_tenure(writes, lease)
 
     async def _live_lease(self):
         async with self._grant_lock:
--- a/packages/daemon/anvilwell_daemon/rollout/engine_orders.py
+++ b/packages/daemon/anvilwell_daemon/rollout/engine_orders.py
@@ -111,14 +111,14 @@
         return self.report()
 
     async def _learn_highest(self):
-        if self._swap.door.highest is not None:
+        if self._swap.gate.highest is not None:
             return
         async with self._learning:
-            if self._swap.door.highest is not None:
+            if self._swap.gate.highest is not None:
                 return
             name = leadership_name(self._service)
             try:
-                self._swap.door.learn(await self._leases.highest(name))
+                self._swap.gate.raise_to(await self._leases.highest(name))
             except exceptions.KeyValueUnavailable as error:
                 # The door itself refuses then, with what to do.
                 _LOG.log("highest-unknown", cause=error.message)
--- a/packages/daemon/anvilwell_daemon/runs/location.py
+++ b/packages/daemon/anvilwell_daemon/runs/location.py
@@ -111,7 +111,7 @@
         entry = await self._store.get(key, purpose=keyvalue.Purpose.LEDGER)
         if entry is None:
             return ""
-        return leadership.HOLDER.validate_json(entry.value).vm_id
+        return leadership.HOLDER_ADAPTER.validate_json(entry.value).vm_id
 
 
 def _key(run):
--- a/packages/decisions/anvilwell_decisions/batches/batch_state.py
+++ b/packages/decisions/anvilwell_decisions/batches/batch_state.py
@@ -84,7 +84,7 @@
     def _restore_progress(self, progress):
         """Use an earlier text of a waiting item if the bounds allow it."""
         state = self._states_by_id.get(progress.item_id)
-        if state is not ItemState.WAITING or not progress.fits(
+        if state is not ItemState.WAITING or not progress.is_usable(
             self.submission.min_version, self._one_version
         ):
             return
--- a/packages/decisions/anvilwell_decisions/batches/dispatch.py
+++ b/packages/decisions/anvilwell_decisions/batches/dispatch.py
@@ -6,7 +6,7 @@
 
 from anvilwell_decisions.batches import lengths
 from anvilwell_decisions.batches import memory
-from anvilwell_decisions.batches import moving
+from anvilwell_decisions.batches import move_selection
 from anvilwell_decisions.batches import paces
 from anvilwell_decisions.batches import shortlists
 from anvilwell_decisions.batches import workers
@@ -24,17 +24,18 @@
 # service differ by about a third, slow ones by a factor of three.
 PACE_STEPS = 6
 # An item looks at the memory of so many replicas, the best by time and load.
-LOOKS = 8
+MEMORY_CANDIDATES = 8
 # An item waits for a place that frees soon if its text ends so much sooner
 # than at a place that is free; when that is, is an estimate.
-WAIT_GAIN_S = 0.2
+MIN_WAIT_GAIN_S = 0.2
 
 
-class Work(typing.NamedTuple):
+class WaitingItem(typing.NamedTuple):
     """A waiting item; lower ``rank`` goes first.
 
-    ``kind`` names the items whose lengths are alike, ``guess`` is the
-    caller's one in tokens, and ``made`` what its text has, in events.
+    Items with the same ``kind`` have similar lengths. ``expected_tokens`` is
+    the caller's estimate of the length, 0 if it gave none; ``events_made`` is
+    how many events its text already has from earlier runs.
     """
 
     rank: tuple
@@ -45,8 +46,8 @@
     model: str
     min_version: int
     kind: str = ""
-    guess: int = 0
-    made: int = 0
+    expected_tokens: int = 0
+    events_made: int = 0
     prompt: facts.Prompt = facts.Prompt()
 
 
@@ -64,23 +65,23 @@
     model: str
     min_version: int
     kind: str = ""
-    guess: int = 0
+    expected_tokens: int = 0
     prompt: facts.Prompt = facts.Prompt()
-    moved: int = 0
+    earlier_moves: int = 0
 
 
-class Dispatch:
+class Dispatcher:
     """Chooses replicas for the items of one holder's batches."""
 
     def __init__(self):
         self._workers_by_id = {}
         self._shortlists = shortlists.Shortlists()
         # Workers with runs at the last look; each run names its own.
-        self._busy = []
+        self._busy_workers = []
         self._tokens_by_service = {}
-        self._spells_by_service = collections.defaultdict(paces.Spells)
-        self.lengths = lengths.Lengths()
-        self.mover = moving.Mover(self.lengths)
+        self._slowdowns_by_service = collections.defaultdict(paces.Slowdowns)
+        self.lengths = lengths.LengthEstimator()
+        self.move_selector = move_selection.MoveSelector(self.lengths)
 
     def worker(self, replica_id):
         """Return the `Worker` of a replica, or None."""
@@ -90,20 +91,22 @@
         """Take the replicas that may be used now."""
         known = self._workers_by_id
         self._workers_by_id = {
-            replica.replica_id: self._renewed(
+            replica.replica_id: self._updated_worker(
                 known.get(replica.replica_id), replica
             )
             for replica in replicas
         }
         self._shortlists.set_candidates(self._workers_by_id.values())
 
-    def change(self, replica_id, replica):
+    def update_replica(self, replica_id, replica):
         """Take what one replica is now, None if it may not be used."""
         worker = self._workers_by_id.get(replica_id)
         if replica is None:
             self._workers_by_id.pop(replica_id, None)
         else:
-            self._workers_by_id[replica_id] = self._renewed(worker, replica)
+            self._workers_by_id[replica_id] = self._updated_worker(
+                worker, replica
+            )
         if worker is None or replica is None:
             self._shortlists.set_candidates(self._workers_by_id.values())
         else:
@@ -123,14 +126,14 @@
             if worker.replica.service == service
         ]
 
-    def _renewed(self, worker, replica):
+    def _updated_worker(self, worker, replica):
         if worker is None:
             worker = workers.Worker(
-                replica, self._spells_by_service[replica.service]
+                replica, self._slowdowns_by_service[replica.service]
             )
-            worker.forget_runs(self._tokens_by_service)
+            worker.clear_runs(self._tokens_by_service)
         worker.replica = replica
-        worker.saw_versions(replica.versions)
+        worker.update_versions(replica.versions)
         return worker
 
     def set_runs(self, runs, tokens_by_service, now):
@@ -149,42 +152,46 @@
         self._shortlists.clear()
         is_same = tokens_by_service == self._tokens_by_service
         self._tokens_by_service = tokens_by_service
-        known = self._busy if is_same else self._workers_by_id.values()
+        known = self._busy_workers if is_same else self._workers_by_id.values()
         for worker in known:
-            worker.forget_runs(tokens_by_service)
-        self._busy = []
+            worker.clear_runs(tokens_by_service)
+        self._busy_workers = []
         for run in runs:
             worker = self._workers_by_id.get(run.replica_id)
             if worker is None:
                 continue
-            self._busy.append(worker)
-            left = self.lengths.left(run.kind, run.guess, run.events)
-            worker.memory.add(self._holding(run, run.events, left))
+            self._busy_workers.append(worker)
+            left = self.lengths.remaining_events(
+                run.kind, run.expected_tokens, run.events
+            )
+            worker.memory.add(self._memory_demand(run, run.events, left))
             if not worker.pace.is_silent(now):
-                worker.ends_s.append(worker.pace.expected_s(left, now))
-        for worker in self._busy:
-            heapq.heapify(worker.ends_s)
+                worker.run_ends_s.append(worker.pace.expected_s(left, now))
+        for worker in self._busy_workers:
+            heapq.heapify(worker.run_ends_s)
 
-    def moves(self, runs, now):
+    def choose_moves(self, runs, now):
         """Return the `moves.Move`s to be made now; ``runs`` may move."""
-        return self.mover.choose(runs, self._workers_by_id, now)
+        return self.move_selector.choose(runs, self._workers_by_id, now)
 
-    def placed(self, work, replica_id):
-        """Note that a `Work` was given to a replica."""
+    def record_assignment(self, work, replica_id):
+        """Note that a `WaitingItem` was given to a replica."""
         worker = self._workers_by_id[replica_id]
         worker.running += 1
-        left = self.lengths.left(work.kind, work.guess, work.made)
-        worker.memory.add(self._holding(work, work.made, left))
-        self._busy.append(worker)
-        self.mover.budget.started()
+        left = self.lengths.remaining_events(
+            work.kind, work.expected_tokens, work.events_made
+        )
+        worker.memory.add(self._memory_demand(work, work.events_made, left))
+        self._busy_workers.append(worker)
+        self.move_selector.budget.record_start()
 
-    def _holding(self, one, made, left):
-        """Return the `memory.Holding` of a `Work` or `Run`."""
-        tokens = self.lengths.tokens_an_event(one.kind)
-        return memory.holding(one.prompt, tokens, made, left)
+    def _memory_demand(self, one, events_made, left):
+        """Return the `memory.MemoryDemand` of a `WaitingItem` or `Run`."""
+        tokens = self.lengths.tokens_per_event(one.kind)
+        return memory.memory_demand(one.prompt, tokens, events_made, left)
 
-    def choose(self, work, now):
-        """Return the replica's id for one `Work`, or None for now.
+    def choose_replica(self, work, now):
+        """Return the replica's id for one `WaitingItem`, or None for now.
 
         Work comes with the longest items first, so these get the fast
         replicas, and the short ones what is left. A long one rather waits
@@ -193,43 +200,53 @@
         able = self._shortlists.find(
             work.service,
             (work.service, work.model, work.min_version, now),
-            lambda worker: workers.may_take(worker, work, now),
+            lambda worker: workers.can_start(worker, work, now),
         )
         if not able:
             return None
-        events = self.lengths.left(work.kind, work.guess, work.made)
+        events = self.lengths.remaining_events(
+            work.kind, work.expected_tokens, work.events_made
+        )
         expected = [worker.pace.expected_s(events, now) for worker in able]
         known = [one for one in expected if one is not None]
-        least_s = min(known, default=0.0)
-        likely = heapq.nsmallest(
-            LOOKS,
+        shortest_s = min(known, default=0.0)
+        candidates = heapq.nsmallest(
+            MEMORY_CANDIDATES,
             (
-                (_step(one, least_s), worker.load, worker.name, one, worker)
+                (
+                    _pace_step(one, shortest_s),
+                    worker.load,
+                    worker.name,
+                    one,
+                    worker,
+                )
                 for worker, one in zip(able, expected, strict=True)
             ),
         )
-        holding = self._holding(work, work.made, events)
-        *_, expected_s, best = min(likely, key=lambda one: _cost(one, holding))
-        if expected_s and self._waits(work, events, expected_s, now):
+        demand = self._memory_demand(work, work.events_made, events)
+        *_, expected_s, best = min(
+            candidates, key=lambda one: _sort_key(one, demand)
+        )
+        if expected_s and self._should_wait(work, events, expected_s, now):
             return None
         return best.name
 
-    def _waits(self, work, events, expected_s, now):
+    def _should_wait(self, work, events, expected_s, now):
         """Return whether an item should wait for a place that frees soon.
 
         If so it takes that place from what waits behind it.
         """
         full = [
             worker
-            for worker in self._busy
-            if worker.ends_s
-            and worker.room <= 0
-            and workers.may_wait(worker, work, now)
+            for worker in self._busy_workers
+            if worker.run_ends_s
+            and worker.free_slots <= 0
+            and workers.can_start_once_free(worker, work, now)
         ]
         ends_s, worker = min(
             (
                 (
-                    worker.ends_s[0] + worker.pace.expected_s(events, now),
+                    worker.run_ends_s[0] + worker.pace.expected_s(events, now),
                     worker,
                 )
                 for worker in full
@@ -237,27 +254,27 @@
             key=lambda pair: pair[0],
             default=(expected_s, None),
         )
-        if ends_s + WAIT_GAIN_S > expected_s:
+        if ends_s + MIN_WAIT_GAIN_S > expected_s:
             return False
-        heapq.heapreplace(worker.ends_s, ends_s)
+        heapq.heapreplace(worker.run_ends_s, ends_s)
         return True
 
 
-def _step(expected_s, least_s):
+def _pace_step(expected_s, shortest_s):
     """Return how a replica's expected time compares with the least one."""
-    if expected_s is None or not least_s:
+    if expected_s is None or not shortest_s:
         return PACE_STEPS
-    return int(expected_s / least_s * PACE_STEPS)
+    return int(expected_s / shortest_s * PACE_STEPS)
 
 
-def _cost(likely, holding):
+def _sort_key(candidates, demand):
     """Return what a replica is chosen by; the least goes first."""
-    step, load, name, _, worker = likely
-    fill = worker.memory.fill(holding)
+    step, load, name, _, worker = candidates
+    peak_share = worker.memory.peak_share(demand)
     return (
-        fill > memory.MARGIN_SHARE,
+        peak_share > memory.MAX_PEAK_SHARE,
         step,
-        max(load, worker.in_slots(fill)),
-        not worker.memory.shares(holding.shared_id),
+        max(load, worker.round_down_to_slots(peak_share)),
+        not worker.memory.has_shared_prompt(demand.shared_id),
         name,
     )
--- a/packages/decisions/anvilwell_decisions/batches/order.py
+++ b/packages/decisions/anvilwell_decisions/batches/item_order.py
@@ -11,10 +11,10 @@
 
 # An item of median length takes one second, and its trainer reads each half
 # second: a step that is due sooner is taken to be late, in seconds.
-LEAST_S = 1.5
+MIN_ITEM_TIME_S = 1.5
 
 
-def late_at(submitted_at, due_s):
+def too_late_at(submitted_at, due_s):
     """Return from when on a new item of a batch comes too late.
 
     Parameters
@@ -24,10 +24,10 @@
     due_s : float
         How long after that its results are due, 0 if never.
     """
-    return submitted_at + due_s - LEAST_S if due_s else math.inf
+    return submitted_at + due_s - MIN_ITEM_TIME_S if due_s else math.inf
 
 
-def place(sequence, is_late, has_text):
+def sort_key(sequence, is_late, has_text):
     """Return what sorts an item among those of all batches.
 
     Parameters
--- a/packages/decisions/anvilwell_decisions/batches/moving.py
+++ b/packages/decisions/anvilwell_decisions/batches/move_selection.py
@@ -6,23 +6,23 @@
 from anvilwell_decisions.batches import moves
 from anvilwell_decisions.batches import workers
 
-# A run that may move is compared with so many replicas that have room, the
-# fastest ones; more differ too little to look at each time.
-TARGETS = 8
+# A run that may move is compared with so many replicas that have a free
+# slot, the fastest ones; more differ too little to look at each time.
+MAX_TARGETS = 8
 
 
-class Mover:
+class MoveSelector:
     """Chooses among the runs of one holder's batches.
 
     Parameters
     ----------
-    lengths : lengths.Lengths
+    lengths : lengths.LengthEstimator
         What runs have left.
     """
 
     def __init__(self, lengths):
         self._lengths = lengths
-        self.budget = moves.Budget()
+        self.budget = moves.MoveBudget()
 
     def choose(self, runs, workers_by_id, now):
         """Return the `moves.Move`s to be made now.
@@ -36,15 +36,15 @@
         now : float
             Monotonic time in seconds.
         """
-        if not self.budget.moves:
+        if not self.budget.available:
             return []
-        choice = _Choice(self._lengths, self.budget, workers_by_id, now)
+        choice = _Selection(self._lengths, self.budget, workers_by_id, now)
         made = choice.moves(runs)
         self.budget.spend(len(made))
         return made
 
 
-class _Choice:
+class _Selection:
     """One look at all runs."""
 
     def __init__(self, lengths, budget, workers_by_id, now):
@@ -52,8 +52,8 @@
         self._budget = budget
         self._workers_by_id = workers_by_id
         self._now = now
-        self._targets_by_need = {}
-        self._rooms_by_id = {}
+        self._targets_by_requirement = {}
+        self._free_slots_by_id = {}
 
     def moves(self, runs):
         """Return the moves that find a place and are in the budget.
@@ -65,9 +65,9 @@
         moved = {relief.run for relief in reliefs}
         gains = [self._gain(run) for run in runs if run not in moved]
         wanted = sorted(filter(None, gains), key=lambda one: -one.gain_s)
-        made = reliefs[: self._budget.moves]
+        made = reliefs[: self._budget.available]
         for move in wanted:
-            if len(made) == self._budget.moves:
+            if len(made) == self._budget.available:
                 break
             # Places went to the moves before.
             again = self._gain(move.run, is_made=True)
@@ -82,43 +82,43 @@
         that moved before stays, as what waits may take its place again.
         """
         for replica_id, worker in self._workers_by_id.items():
-            if not worker.memory.is_short:
+            if not worker.memory.is_nearly_full:
                 continue
             here = [
                 run
                 for run in runs
-                if run.replica_id == replica_id and not run.moved
+                if run.replica_id == replica_id and not run.earlier_moves
             ]
             if here and worker.running > 1:
-                longest = max(here, key=self._left)
+                longest = max(here, key=self._remaining_events)
                 yield self._relief(longest, worker)
 
     def _relief(self, run, worker):
-        left = self._left(run)
-        holding = memory.holding(
+        left = self._remaining_events(run)
+        demand = memory.memory_demand(
             run.prompt,
-            self._lengths.tokens_an_event(run.kind),
+            self._lengths.tokens_per_event(run.kind),
             run.events,
             left,
         )
         fitting = [
             target
             for target in self._targets(run)
-            if self._has_room(target, run) and target.memory.fits(holding)
+            if self._has_free_slot(target, run) and target.memory.fits(demand)
         ]
         if not fitting:
             return None
-        self._take(fitting[0])
+        self._take_slot(fitting[0])
         stay_s = worker.pace.expected_s(left, self._now) or 0.0
         go_s = fitting[0].pace.expected_s(left, self._now)
-        return self._made(run, left, stay_s, stay_s - go_s, moves.Cause.MEMORY)
+        return self._move(run, left, stay_s, stay_s - go_s, moves.Cause.MEMORY)
 
     def _gain(self, run, is_made=False):
         """Return the best `moves.Move` of a run for its time, or None."""
         worker = self._workers_by_id.get(run.replica_id)
         if worker is None:
             return None
-        left = self._left(run)
+        left = self._remaining_events(run)
         stay_s = worker.pace.expected_s(left, self._now)
         if not stay_s:
             return None
@@ -126,51 +126,53 @@
             (
                 (target.pace.expected_s(left, self._now), target)
                 for target in self._targets(run)
-                if self._has_room(target, run)
+                if self._has_free_slot(target, run)
             ),
             key=lambda pair: pair[0],
             default=(stay_s, None),
         )
         gain_s = moves.gain_s(
-            stay_s, go_s, run.moved, self._budget.least_gain_s
+            stay_s, go_s, run.earlier_moves, self._budget.min_gain_s
         )
         if not gain_s:
             return None
         if is_made:
-            self._take(target)
-        return self._made(run, left, stay_s, gain_s, moves.Cause.FASTER)
+            self._take_slot(target)
+        return self._move(run, left, stay_s, gain_s, moves.Cause.FASTER)
 
-    def _made(self, run, left, stay_s, gain_s, cause):
-        text = run.events * self._lengths.tokens_an_event(run.kind)
+    def _move(self, run, left, stay_s, gain_s, cause):
+        text = run.events * self._lengths.tokens_per_event(run.kind)
         tokens = run.prompt.tokens + text
         return moves.Move(run, left, stay_s, gain_s, tokens, cause)
 
-    def _left(self, run):
-        return self._lengths.left(run.kind, run.guess, run.events)
+    def _remaining_events(self, run):
+        return self._lengths.remaining_events(
+            run.kind, run.expected_tokens, run.events
+        )
 
     def _targets(self, run):
-        """Return the fastest replicas with room for runs like `run`."""
-        need = (run.service, run.model, run.min_version)
-        if need not in self._targets_by_need:
+        """Return the fastest replicas with free slots for runs like `run`."""
+        requirement = (run.service, run.model, run.min_version)
+        if requirement not in self._targets_by_requirement:
             able = [
                 worker
                 for worker in self._workers_by_id.values()
-                if workers.may_take(worker, run, self._now)
+                if workers.can_start(worker, run, self._now)
                 and worker.pace.expected_s(1, self._now) is not None
             ]
-            self._targets_by_need[need] = heapq.nsmallest(
-                TARGETS,
+            self._targets_by_requirement[requirement] = heapq.nsmallest(
+                MAX_TARGETS,
                 able,
                 key=lambda one: one.pace.expected_s(1, self._now),
             )
-        return self._targets_by_need[need]
+        return self._targets_by_requirement[requirement]
 
-    def _has_room(self, target, run):
+    def _has_free_slot(self, target, run):
         replica_id = target.replica.replica_id
-        room = self._rooms_by_id.get(replica_id, target.room)
-        return replica_id != run.replica_id and room > 0
+        free_slots = self._free_slots_by_id.get(replica_id, target.free_slots)
+        return replica_id != run.replica_id and free_slots > 0
 
-    def _take(self, target):
+    def _take_slot(self, target):
         replica_id = target.replica.replica_id
-        room = self._rooms_by_id.get(replica_id, target.room)
-        self._rooms_by_id[replica_id] = room - 1
+        free_slots = self._free_slots_by_id.get(replica_id, target.free_slots)
+        self._free_slots_by_id[replica_id] = free_slots - 1
--- a/packages/decisions/anvilwell_decisions/batches/progress.py
+++ b/packages/decisions/anvilwell_decisions/batches/progress.py
@@ -4,10 +4,10 @@
 
 from anvilwell_decisions.traffic import facts
 
-FIRST_NUMBER = 1
+FIRST_EVENT_NUMBER = 1
 
 
-class Gap(Exception):
+class EventGap(Exception):
     """An event does not follow the last one: the run is unusable."""
 
 
@@ -18,7 +18,7 @@
     seal: str
 
 
-class Saved(typing.NamedTuple):
+class SavedProgress(typing.NamedTuple):
     """A `Progress` as it is stored."""
 
     item_id: str
@@ -60,7 +60,7 @@
     @property
     def last_number(self):
         """Number of the last event that is known; 0 for none."""
-        return len(self.events) + FIRST_NUMBER - 1
+        return len(self.events) + FIRST_EVENT_NUMBER - 1
 
     def add(self, event, version):
         """Add the next `facts.Event`, made under `version`.
@@ -71,7 +71,7 @@
             If it is not the next one.
         """
         if event.number != self.last_number + 1:
-            raise Gap(f"{event.number} follows {self.last_number}")
+            raise EventGap(f"{event.number} follows {self.last_number}")
         if version not in self.versions:
             self.versions.append(version)
         self.events.append(event.data)
@@ -80,7 +80,7 @@
         """Note that the last run ended as whole."""
         self.is_complete = True
 
-    def fits(self, min_version, one_version):
+    def is_usable(self, min_version, one_version):
         """Return whether the text may be used under these bounds."""
         is_fresh = all(version >= min_version for version in self.versions)
         return is_fresh and not (one_version and len(self.versions) > 1)
@@ -94,7 +94,7 @@
 
     def save(self):
         """Return what is stored of it."""
-        return Saved(
+        return SavedProgress(
             self.item_id,
             tuple(self.events),
             tuple(self.versions),
--- a/packages/decisions/anvilwell_decisions/batches/scoring.py
+++ b/packages/decisions/anvilwell_decisions/batches/scoring.py
@@ -11,18 +11,18 @@
 # After a refusal half as many calls go at once, and none for so long: a
 # full replica frees a slot about every 15 ms.
 REFUSED_SHARE = 0.5
-PAUSE_S = 0.1
+REFUSED_PAUSE_S = 0.1
 # Failed rounds wait twice as long each time, up to this.
-LONGEST_PAUSE_S = 1.0
+MAX_RETRY_DELAY_S = 1.0
 # Calls whose times are remembered, about those of one step.
-TIMES_KEPT = 64
+MAX_TIMES = 64
 # A call's limit is so many times the slowest one remembered, so that only
 # one that is lost runs into it, and at least so many target latencies.
 SLOWEST_FACTOR = 3.0
-LEAST_TARGETS = 2.0
+MIN_TARGET_LATENCIES = 2.0
 
 
-class Pacer:
+class ScoringLimiter:
     """What one entry believes of one scoring service.
 
     The number of calls at once rises by one for each round of answers and
@@ -32,41 +32,41 @@
 
     def __init__(self):
         self.running = 0
-        self._most = DEFAULT_SLOTS * SLOTS_SHARE
-        self._window = self._most
+        self._max_window = DEFAULT_SLOTS * SLOTS_SHARE
+        self._window = self._max_window
         self._not_before = 0.0
-        self._times = collections.deque(maxlen=TIMES_KEPT)
+        self._times = collections.deque(maxlen=MAX_TIMES)
 
     def set_slots(self, slots):
         """Take how many calls all replicas of the service run at once."""
-        most = max(1.0, (slots or DEFAULT_SLOTS) * SLOTS_SHARE)
-        if self._window >= self._most:
-            self._window = most
-        self._most = most
-        self._window = min(self._window, most)
+        max_window = max(1.0, (slots or DEFAULT_SLOTS) * SLOTS_SHARE)
+        if self._window >= self._max_window:
+            self._window = max_window
+        self._max_window = max_window
+        self._window = min(self._window, max_window)
 
-    def has_room(self, now):
+    def may_start(self, now):
         """Return whether another call may start."""
         return self.running < int(self._window) and now >= self._not_before
 
     def limit_s(self, route):
         """Return how long a call on `route` may take, in seconds."""
         slowest = SLOWEST_FACTOR * max(self._times, default=0.0)
-        least = LEAST_TARGETS * route.target_latency_s
-        return min(route.timeout_s, max(least, slowest))
+        shortest = MIN_TARGET_LATENCIES * route.target_latency_s
+        return min(route.timeout_s, max(shortest, slowest))
 
-    def answered(self, took_s):
+    def record_score(self, took_s):
         """Take in the time of a call that brought a score."""
         self._times.append(took_s)
         grown = self._window + 1.0 / self._window
-        self._window = min(self._most, grown)
+        self._window = min(self._max_window, grown)
 
-    def refused(self, now):
+    def record_refusal(self, now):
         """Take in that every replica turned a call away."""
         self._window = max(1.0, self._window * REFUSED_SHARE)
-        self._not_before = now + PAUSE_S
+        self._not_before = now + REFUSED_PAUSE_S
 
 
-def pause_s(rounds):
+def retry_delay_s(rounds):
     """Return how long an item waits after so many rounds without a score."""
-    return min(LONGEST_PAUSE_S, PAUSE_S * 2 ** (rounds - 1))
+    return min(MAX_RETRY_DELAY_S, REFUSED_PAUSE_S * 2 ** (rounds - 1))
--- a/packages/decisions/anvilwell_decisions/batches/shortlists.py
+++ b/packages/decisions/anvilwell_decisions/batches/shortlists.py
@@ -11,19 +11,19 @@
 import random
 
 # Services of up to so many replicas are compared whole.
-SIZE = 32
+SHORTLIST_SIZE = 32
 
 
 class _Shortlist:
-    """Replicas that were drawn for items that need the same.
+    """Replicas that were drawn for items with the same requirement.
 
-    ``is_all`` tells that no others could take these items.
+    ``is_complete`` tells that no others could take these items.
     """
 
     def __init__(self, candidates):
         self.candidates = candidates
-        self.is_all = len(candidates) < SIZE
-        self.uses = SIZE
+        self.is_complete = len(candidates) < SHORTLIST_SIZE
+        self.uses_left = SHORTLIST_SIZE
 
 
 class Shortlists:
@@ -32,7 +32,7 @@
     def __init__(self):
         self._candidates = ()
         self._candidates_by_service = None
-        self._shortlists_by_need = {}
+        self._shortlists_by_requirement = {}
 
     def set_candidates(self, candidates):
         """Take the `workers.Worker` of each replica."""
@@ -42,42 +42,44 @@
 
     def clear(self):
         """Draw anew, as replicas may have become free."""
-        self._shortlists_by_need = {}
+        self._shortlists_by_requirement = {}
 
-    def find(self, service, need, may_take):
+    def find(self, service, requirement, can_start):
         """Return some of a service's replicas that may take an item.
 
         Parameters
         ----------
         service : str
             The service.
-        need : tuple
+        requirement : tuple
             What the item has in common with those that the same replicas
             may take.
-        may_take : callable
+        can_start : callable
             Tells whether a replica may take it.
         """
-        known = self._shortlists_by_need.get(need)
-        if known is None or not known.uses:
-            known = self._draw(service, need, may_take)
-        able = list(filter(may_take, known.candidates))
-        if not able and not known.is_all:
-            known = self._draw(service, need, may_take)
+        known = self._shortlists_by_requirement.get(requirement)
+        if known is None or not known.uses_left:
+            known = self._draw(service, requirement, can_start)
+        able = list(filter(can_start, known.candidates))
+        if not able and not known.is_complete:
+            known = self._draw(service, requirement, can_start)
             able = known.candidates
-        if not known.is_all:
-            known.uses -= 1
+        if not known.is_complete:
+            known.uses_left -= 1
         return able
 
-    def _draw(self, service, need, may_take):
+    def _draw(self, service, requirement, can_start):
         candidates = self._candidates_of(service)
         start = random.randrange(max(1, len(candidates)))
         in_turn = itertools.chain(
             itertools.islice(candidates, start, None),
             itertools.islice(candidates, start),
         )
-        drawn = list(itertools.islice(filter(may_take, in_turn), SIZE))
-        self._shortlists_by_need[need] = _Shortlist(drawn)
-        return self._shortlists_by_need[need]
+        drawn = list(
+            itertools.islice(filter(can_start, in_turn), SHORTLIST_SIZE)
+        )
+        self._shortlists_by_requirement[requirement] = _Shortlist(drawn)
+        return self._shortlists_by_requirement[requirement]
 
     def _candidates_of(self, service):
         """Return a service's replicas in an order of chance."""
--- a/packages/decisions/anvilwell_decisions/batches/places.py
+++ b/packages/decisions/anvilwell_decisions/batches/slots.py
@@ -13,12 +13,12 @@
 import math
 import typing
 
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.duties import rendezvous
 
 # Items that one core runs at once, with some 26 events a second each.
 ITEMS_PER_CORE = 1000
 # An entry is one thread.
-MOST_CORES = 1.0
+MAX_CORES = 1.0
 # Items that a link of one Mbit/s carries: each text comes from a replica,
 # goes to the store and is read by its trainer.
 ITEMS_PER_MBPS = 12
@@ -30,7 +30,7 @@
 LENT_SHARE = 0.5
 
 
-def carried(cores, link_mbps):
+def item_capacity(cores, link_mbps):
     """Return how many items one VM can run at once.
 
     Parameters
@@ -41,10 +41,10 @@
         What its link carries, in Mbit/s; 0 if that is not known.
     """
     by_link = link_mbps * ITEMS_PER_MBPS if link_mbps else math.inf
-    return min(min(cores, MOST_CORES) * ITEMS_PER_CORE, by_link)
+    return min(min(cores, MAX_CORES) * ITEMS_PER_CORE, by_link)
 
 
-def homes_needed(items, carried_items, models):
+def homes_needed(items, home_capacity, models):
     """Return how many homes a service should have.
 
     Parameters
@@ -56,12 +56,12 @@
     models : int
         Its models: the batches of one are not split.
     """
-    if not carried_items:
+    if not home_capacity:
         return 1
-    return max(1, min(models, math.ceil(items / carried_items)))
+    return max(1, min(models, math.ceil(items / home_capacity)))
 
 
-class Ask(typing.NamedTuple):
+class SlotRequest(typing.NamedTuple):
     """What a borrower tells a lender of a service's places.
 
     ``using_by_replica`` is how many it uses of the lender's, ``wanted``
@@ -81,7 +81,7 @@
     until: float
 
 
-class Places:
+class HomeSlots:
     """The places of one service that one home may use.
 
     Parameters
@@ -117,7 +117,9 @@
         """Return the home that a replica is dealt to."""
         owner = self._owners_by_replica.get(replica_id)
         if owner is None:
-            owner = choice.chosen(f"places of {replica_id}", self._homes)
+            owner = rendezvous.choose_vm(
+                f"places of {replica_id}", self._homes
+            )
             self._owners_by_replica[replica_id] = owner
         return owner
 
@@ -131,20 +133,20 @@
             return slots
         owner = self.owner(replica_id)
         if owner == self._vm_id:
-            return slots - self._lent(replica_id, now)
+            return slots - self._lent_slots(replica_id, now)
         loan = self._borrowed_by_lender.get(owner)
         if loan is None or loan.until <= now:
             return 0
         return loan.counts_by_replica.get(replica_id, 0)
 
-    def _lent(self, replica_id, now):
+    def _lent_slots(self, replica_id, now):
         return sum(
             loan.counts_by_replica.get(replica_id, 0)
             for loan in self._lent_by_borrower.values()
             if loan.until > now
         )
 
-    def lend(self, ask, slots, rooms_by_replica, now):
+    def lend(self, request, slots, free_slots_by_replica, now):
         """Return what is lent from now on, as counts by replica.
 
         Parameters
@@ -158,49 +160,55 @@
         now : float
             Time, in seconds.
         """
-        counts_by_replica = dict(ask.using_by_replica)
-        earlier = self._lent_by_borrower.pop(ask.borrower, _Loan({}, now))
-        counted = collections.Counter(
-            earlier.counts_by_replica if earlier.until > now else {}
+        counts_by_replica = dict(request.using_by_replica)
+        earlier_loan = self._lent_by_borrower.pop(
+            request.borrower, _Loan({}, now)
         )
-        counted.subtract(counts_by_replica)
-        lent = self.all_lent(now) + sum(counts_by_replica.values())
-        left = min(ask.wanted, int(LENT_SHARE * slots) - lent)
-        rooms = sorted(rooms_by_replica.items(), key=lambda one: -one[1])
-        for replica_id, room in rooms:
+        freed_by_replica = collections.Counter(
+            earlier_loan.counts_by_replica if earlier_loan.until > now else {}
+        )
+        freed_by_replica.subtract(counts_by_replica)
+        lent = self.lent_count(now) + sum(counts_by_replica.values())
+        available = min(request.wanted, int(LENT_SHARE * slots) - lent)
+        by_free_slots = sorted(
+            free_slots_by_replica.items(), key=lambda one: -one[1]
+        )
+        for replica_id, free_slots in by_free_slots:
             # The rooms are without what was lent until now.
-            count = max(0, min(room + counted[replica_id], left))
+            count = max(
+                0, min(free_slots + freed_by_replica[replica_id], available)
+            )
             if count:
                 known = counts_by_replica.get(replica_id, 0)
                 counts_by_replica[replica_id] = known + count
-                left -= count
-        self._lent_by_borrower[ask.borrower] = _Loan(
+                available -= count
+        self._lent_by_borrower[request.borrower] = _Loan(
             counts_by_replica, now + LOAN_S
         )
         return counts_by_replica
 
-    def all_lent(self, now):
+    def lent_count(self, now):
         """Return how many places are lent."""
-        return _sum(self._lent_by_borrower.values(), now)
+        return _slot_count(self._lent_by_borrower.values(), now)
 
-    def all_borrowed(self, now):
+    def borrowed_count(self, now):
         """Return how many places are borrowed."""
-        return _sum(self._borrowed_by_lender.values(), now)
+        return _slot_count(self._borrowed_by_lender.values(), now)
 
-    def asks(self, lender, using_by_replica, now):
+    def record_request(self, lender, using_by_replica, now):
         """Use no more of a lender's than is named, until it answers."""
         self._borrowed_by_lender[lender] = _Loan(
             dict(using_by_replica), now + LOAN_S
         )
 
-    def borrowed(self, lender, counts_by_replica, asked_at):
+    def record_loan(self, lender, counts_by_replica, asked_at):
         """Take a lender's answer to what was asked then."""
         self._borrowed_by_lender[lender] = _Loan(
             counts_by_replica, asked_at + LOAN_S
         )
 
 
-def _sum(loans, now):
+def _slot_count(loans, now):
     return sum(
         sum(loan.counts_by_replica.values())
         for loan in loans
--- a/packages/decisions/anvilwell_decisions/batches/workers.py
+++ b/packages/decisions/anvilwell_decisions/batches/workers.py
@@ -7,23 +7,23 @@
 class Worker:
     """What is known of one replica."""
 
-    def __init__(self, replica, spells):
+    def __init__(self, replica, slowdowns):
         self.replica = replica
         self.running = 0
         # Places that may be used here; None for all.
         self.limit = None
-        self.forget_runs({})
+        self.clear_runs({})
         self.not_before = 0.0
-        self.pace = paces.Pace(spells)
+        self.pace = paces.Pace(slowdowns)
         self._version_by_model = {}
-        self.saw_versions(replica.versions)
+        self.update_versions(replica.versions)
 
-    def forget_runs(self, tokens_by_service):
+    def clear_runs(self, tokens_by_service):
         """Forget what the runs here hold and when they are to end."""
         total = tokens_by_service.get(self.replica.service, 0)
-        self.memory = memory.Memory(total)
+        self.memory = memory.EngineMemory(total)
         # Seconds until each of our runs here is expected to end, a heap.
-        self.ends_s = []
+        self.run_ends_s = []
 
     @property
     def name(self):
@@ -35,45 +35,45 @@
         """Share of the slots that our own runs take."""
         return self.running / max(1, self.replica.slots)
 
-    def in_slots(self, share):
+    def round_down_to_slots(self, share):
         """Return a share of something, down to whole slots."""
         slots = max(1, self.replica.slots)
         return int(share * slots) / slots
 
     @property
-    def room(self):
+    def free_slots(self):
         """How many more items would start at once."""
         slots = max(1, self.replica.slots)
         return (slots if self.limit is None else self.limit) - self.running
 
-    def saw_versions(self, versions):
+    def update_versions(self, versions):
         """Take in `facts.ModelVersion`s; they only rise."""
         for model, version in versions:
             known = self._version_by_model.get(model, 0)
             self._version_by_model[model] = max(known, version)
 
-    def may_have(self, model, min_version):
+    def may_have_version(self, model, min_version):
         """Return whether `model` is not known to be too old here."""
         known = self._version_by_model.get(model, 0)
         return not known or known >= min_version
 
-    def takes(self, model, min_version):
+    def accepts(self, model, min_version):
         """Return whether a new item for `model` would start here."""
         is_loading = model in self.replica.loading
-        return not is_loading and self.may_have(model, min_version)
+        return not is_loading and self.may_have_version(model, min_version)
 
 
-def may_take(worker, work, now):
-    """Return whether `worker` takes a `Work` or `Run` now."""
-    return worker.room > 0 and may_wait(worker, work, now)
+def can_start(worker, item, now):
+    """Return whether `worker` takes a `WaitingItem` or `Run` now."""
+    return worker.free_slots > 0 and can_start_once_free(worker, item, now)
 
 
-def may_wait(worker, work, now):
+def can_start_once_free(worker, item, now):
     """Return whether it would take it with a place free."""
     replica = worker.replica
     return (
-        replica.service == work.service
+        replica.service == item.service
         and not replica.is_draining
         and worker.not_before <= now
-        and worker.takes(work.model, work.min_version)
+        and worker.accepts(item.model, item.min_version)
     )
--- a/packages/decisions/anvilwell_decisions/duties/choice.py
+++ b/packages/decisions/anvilwell_decisions/duties/rendezvous.py
@@ -7,12 +7,12 @@
 import xxhash
 
 
-def chosen(duty, vm_ids):
+def choose_vm(duty, vm_ids):
     """Return the VM that has `duty`, None if there is none."""
     return max(vm_ids, key=lambda vm_id: _weight(duty, vm_id), default=None)
 
 
-def ranked(duty, vm_ids):
+def rank_vms(duty, vm_ids):
     """Return `vm_ids` in the order in which they should have `duty`."""
     return sorted(vm_ids, key=lambda vm_id: _weight(duty, vm_id), reverse=True)
 
--- a/packages/decisions/anvilwell_decisions/duties/usage.py
+++ b/packages/decisions/anvilwell_decisions/duties/usage.py
@@ -10,14 +10,14 @@
 SLICE_S = 0.01
 
 
-class Counts(typing.NamedTuple):
+class WindowCounts(typing.NamedTuple):
     """What one process counted in one window."""
 
     window: int
     by_organisation: dict[str, int]
 
 
-class Told(typing.NamedTuple):
+class ProcessCounts(typing.NamedTuple):
     """What a process tells of its counts, for the ``number``-th time.
 
     All windows from ``since`` to ``through``, in seconds of true time, are
@@ -31,10 +31,10 @@
     wall_time: float
     since: float
     through: float
-    counts: tuple[Counts, ...]
+    counts: tuple[WindowCounts, ...]
 
 
-class Report(typing.NamedTuple):
+class WindowReport(typing.NamedTuple):
     """What the platform is told of one window, once and for all."""
 
     window: int
@@ -50,11 +50,11 @@
     """
 
     last: int = 0
-    reports: tuple[Report, ...] = ()
-    told: tuple[Told, ...] = ()
+    reports: tuple[WindowReport, ...] = ()
+    told: tuple[ProcessCounts, ...] = ()
 
 
-class Tally:
+class RequestCounter:
     """Counts the requests that began here."""
 
     def __init__(self):
@@ -71,7 +71,7 @@
             del self._by_slice[one]
 
     def counts(self, offset_s, window_s):
-        """Return the `Counts` of all windows that are not empty.
+        """Return the `WindowCounts` of all windows that are not empty.
 
         Parameters
         ----------
@@ -85,33 +85,33 @@
             at = (one + 0.5) * SLICE_S + offset_s
             by_window[math.floor(at / window_s)].update(counted)
         return tuple(
-            Counts(window, dict(counted))
+            WindowCounts(window, dict(counted))
             for window, counted in sorted(by_window.items())
         )
 
 
-class Gathered:
+class CollectedCounts:
     """What processes have told, and what follows for each window."""
 
     def __init__(self, window_s):
         self._window_s = window_s
-        self.told_by_life = {}
+        self.counts_by_incarnation = {}
 
     def bounds(self, window):
         """Return when a window starts and ends, in seconds of true time."""
         return window * self._window_s, (window + 1) * self._window_s
 
-    def take(self, told):
+    def add(self, told):
         """Take what a process tells; it replaces what it told before."""
-        known = self.told_by_life.get(told.life)
+        known = self.counts_by_incarnation.get(told.life)
         if known is None or told.number >= known.number:
-            self.told_by_life[told.life] = told
+            self.counts_by_incarnation[told.life] = told
 
     def forget(self, before):
         """Drop what ended before true time `before`."""
-        self.told_by_life = {
+        self.counts_by_incarnation = {
             life: told
-            for life, told in self.told_by_life.items()
+            for life, told in self.counts_by_incarnation.items()
             if told.through >= before
         }
 
@@ -124,34 +124,34 @@
         start, end = self.bounds(window)
         return any(
             told.since <= start and told.through >= end
-            for told in self.told_by_life.values()
+            for told in self.counts_by_incarnation.values()
         )
 
-    def is_whole(self, window, lives):
-        """Return whether all `lives` have told of the whole window."""
+    def is_complete(self, window, incarnations):
+        """Return whether all `incarnations` have told of the whole window."""
         _, end = self.bounds(window)
         return all(
-            life in self.told_by_life
-            and self.told_by_life[life].through >= end
-            for life in lives
+            life in self.counts_by_incarnation
+            and self.counts_by_incarnation[life].through >= end
+            for life in incarnations
         )
 
     def report(self, window):
-        """Return the `Report` of a window."""
+        """Return the `WindowReport` of a window."""
         total = collections.Counter()
-        for told in self.told_by_life.values():
+        for told in self.counts_by_incarnation.values():
             for counts in told.counts:
                 if counts.window == window:
                     total.update(counts.by_organisation)
-        return Report(window, dict(total))
+        return WindowReport(window, dict(total))
 
 
-def add_report(ledger, report, kept):
-    """Return `ledger` with one report more, of which it keeps `kept`.
+def add_report(ledger, report, max_reports):
+    """Return `ledger` with one report more, of which it keeps `max_reports`.
 
     What a holder before had gathered of settled windows goes.
     """
-    reports = (*ledger.reports, report)[-kept:]
+    reports = (*ledger.reports, report)[-max_reports:]
     told = tuple(
         one
         for one in ledger.told
@@ -171,21 +171,21 @@
     def __init__(self):
         self._offsets_by_vm = {}
 
-    def hear(self, vm_id, wall_time, now):
+    def record(self, vm_id, wall_time, now):
         """Take what a VM's clock said at local time `now`."""
         self._offsets_by_vm[vm_id] = (wall_time - now, now)
 
     def forget(self, before):
         """Drop what was heard before local time `before`."""
         self._offsets_by_vm = {
-            vm_id: heard
-            for vm_id, heard in self._offsets_by_vm.items()
-            if heard[1] >= before
+            vm_id: reading
+            for vm_id, reading in self._offsets_by_vm.items()
+            if reading[1] >= before
         }
 
-    def is_known(self, lives):
+    def is_known(self, incarnations):
         """Return whether most of so many VMs that live were heard."""
-        return 2 * len(self._offsets_by_vm) > lives
+        return 2 * len(self._offsets_by_vm) > incarnations
 
     @property
     def offset_s(self):
--- a/packages/decisions/anvilwell_decisions/leases/door.py
+++ b/packages/decisions/anvilwell_decisions/leases/fencing.py
@@ -6,7 +6,7 @@
 RETRY_AFTER_S = 1.0
 
 
-class Door:
+class FencingGate:
     """Lets orders through whose fencing number is not an old one.
 
     After a start nothing passes until the highest number given is
@@ -19,7 +19,7 @@
     def __init__(self):
         self.highest = None
 
-    def learn(self, number):
+    def raise_to(self, number):
         """Take `number` as given; from a read of the counter."""
         self.highest = max(number, self.highest or 0)
 
--- a/packages/decisions/anvilwell_decisions/leases/leadership.py
+++ b/packages/decisions/anvilwell_decisions/leases/leadership.py
@@ -19,7 +19,7 @@
     lease: int
 
 
-HOLDER = pydantic.TypeAdapter(Holder)
+HOLDER_ADAPTER = pydantic.TypeAdapter(Holder)
 
 
 class Keys(typing.NamedTuple):
@@ -55,9 +55,9 @@
     lease: int
 
 
-def keys(name, under=PREFIX):
+def keys(name, prefix=PREFIX):
     """Return the `Keys` of the leadership called `name`."""
-    prefix = f"{under}{name}/"
+    prefix = f"{prefix}{name}/"
     return Keys(prefix, f"{prefix}holder", f"{prefix}fencing")
 
 
@@ -84,55 +84,59 @@
         Prefix of its keys.
     """
 
-    def __init__(self, name, vm_id, under=PREFIX):
+    def __init__(self, name, vm_id, prefix=PREFIX):
         self._name = name
         self._vm_id = vm_id
-        self._keys = keys(name, under)
-        self._floor = 0
+        self._keys = keys(name, prefix)
+        self._min_number = 0
 
-    def stand(self, entries_by_key, lease):
+    def standing(self, entries_by_key, lease):
         """Return the `Standing` that a read shows, under our `lease`."""
         entry = entries_by_key.get(self._keys.holder)
         if entry is None:
             return Standing.FREE
-        holder = HOLDER.validate_json(entry.value)
+        holder = HOLDER_ADAPTER.validate_json(entry.value)
         is_ours = holder.vm_id == self._vm_id and holder.lease == lease
         return Standing.OURS if is_ours else Standing.OTHERS
 
-    def take(self, entries_by_key, lease):
+    def takeover_writes(self, entries_by_key, lease):
         """Return the writes that take it over; all or none must land."""
         counter = entries_by_key.get(self._keys.fencing)
         known = int(counter.value) if counter else 0
-        number = max(known, self._floor) + 1
+        number = max(known, self._min_number) + 1
         holder = Holder(self._vm_id, number, lease)
         revision = counter.revision if counter else 0
         return [
-            Write(self._keys.holder, 0, HOLDER.dump_json(holder), lease),
+            Write(
+                self._keys.holder, 0, HOLDER_ADAPTER.dump_json(holder), lease
+            ),
             Write(self._keys.fencing, revision, b"%d" % number),
         ]
 
-    def tenure(self, entries_by_key, lease):
+    def read_tenure(self, entries_by_key, lease):
         """Return our `Tenure` as a read shows it.
 
         This is how a take-over whose answer was lost is resolved.
         """
-        holder = HOLDER.validate_json(entries_by_key[self._keys.holder].value)
+        holder = HOLDER_ADAPTER.validate_json(
+            entries_by_key[self._keys.holder].value
+        )
         return Tenure(self._name, holder.fencing, lease)
 
-    def won(self, writes, lease):
+    def won_tenure(self, writes, lease):
         """Return our `Tenure` once the `writes` of ``take`` landed."""
         return Tenure(self._name, int(writes[1].value), lease)
 
-    def refused(self, highest):
+    def record_higher(self, highest):
         """Note that some door knows a number above the counter.
 
         It happens only if the store came back with older data. The next
         take-over goes above it.
         """
-        self._floor = max(self._floor, highest)
+        self._min_number = max(self._min_number, highest)
 
 
-def check(tenure, session, now):
+def check_tenure(tenure, session, now):
     """Allow one outward act at `now`; call right before each.
 
     Raises
--- a/packages/decisions/anvilwell_decisions/rollout/swap.py
+++ b/packages/decisions/anvilwell_decisions/rollout/swap.py
@@ -3,7 +3,7 @@
 import enum
 import typing
 
-from anvilwell_decisions.leases import door
+from anvilwell_decisions.leases import fencing
 from anvilwell_kernel.messages import orders as messages
 
 ATTEMPTS = 3
@@ -55,7 +55,7 @@
     """
 
     def __init__(self, vm_id, rng, now, unsure_s=UNSURE_S):
-        self.door = door.Door()
+        self.gate = fencing.FencingGate()
         self._vm_id = vm_id
         self._rng = rng
         self._version = ""
@@ -76,9 +76,9 @@
         Raises
         ------
         exceptions.Fenced, exceptions.Refused
-            See ``door.Door.admit``.
+            See ``fencing.FencingGate.admit``.
         """
-        self.door.admit(order.fencing)
+        self.gate.admit(order.fencing)
         if order.fencing > self._last[0]:
             self._last = (order.fencing, 0)
         is_new = (order.fencing, order.number) > self._last
@@ -146,7 +146,7 @@
 
     def refusal(self):
         """Return the `messages.Refusal` that tells of the door."""
-        return messages.Refusal(self._vm_id, self.door.highest or 0)
+        return messages.Refusal(self._vm_id, self.gate.highest or 0)
 
     def _is_needless(self, order):
         """Return whether `order` has nothing to do or cannot work."""
--- a/packages/decisions/tests/batches/test_after_an_outage.py
+++ b/packages/decisions/tests/batches/test_after_an_outage.py
@@ -12,7 +12,7 @@
 import random
 import typing
 
-from anvilwell_decisions.batches import order
+from anvilwell_decisions.batches import item_order
 import pytest
 
 PLACES = 228
@@ -56,8 +56,8 @@
 
 
 def _kept(step, draw, now):
-    late_at = order.late_at(step.asked_at, DUE_S)
-    return order.place((step.asked_at,), now > late_at, False)
+    late_at = item_order.too_late_at(step.asked_at, DUE_S)
+    return item_order.sort_key((step.asked_at,), now > late_at, False)
 
 
 WAYS = (
--- a/packages/decisions/tests/batches/test_batch_state.py
+++ b/packages/decisions/tests/batches/test_batch_state.py
@@ -153,7 +153,7 @@
     batch_state = _scored_batch_state()
 
     batch_state.restore(
-        [], [progresses.Saved("00", ("a",), (1,), True, score)]
+        [], [progresses.SavedProgress("00", ("a",), (1,), True, score)]
     )
 
     assert batch_state.state("00") is state
@@ -161,7 +161,7 @@
 
 
 def test_a_text_that_begins_anew_has_no_score():
-    saved = progresses.Saved(
+    saved = progresses.SavedProgress(
         "00", ("a",), (1,), True, progresses.Score("c", "s")
     )
     progress = progresses.Progress.from_saved(saved)
@@ -189,7 +189,7 @@
 
 
 def _saved(item_id, versions, is_complete=False):
-    return progresses.Saved(item_id, ("a", "b"), versions, is_complete)
+    return progresses.SavedProgress(item_id, ("a", "b"), versions, is_complete)
 
 
 def test_earlier_texts_are_used_if_the_bounds_allow():
@@ -228,7 +228,7 @@
     progress.add(facts.Event(1, "a"), 5)
 
     for number in (1, 3):
-        with pytest.raises(progresses.Gap):
+        with pytest.raises(progresses.EventGap):
             progress.add(facts.Event(number, "b"), 5)
     progress.add(facts.Event(2, "b"), 6)
 
--- a/packages/decisions/tests/batches/test_dispatch.py
+++ b/packages/decisions/tests/batches/test_dispatch.py
@@ -15,7 +15,7 @@
 
 
 def _dispatch(slots=2, versions=(1, 1, 1), **changes):
-    dispatch = dispatches.Dispatch()
+    dispatch = dispatches.Dispatcher()
     dispatch.set_replicas(
         [
             facts.Replica(
@@ -30,18 +30,20 @@
         ]
     )
     for _ in range(RUNS_BEFORE):
-        dispatch.mover.budget.started()
+        dispatch.move_selector.budget.record_start()
     return dispatch
 
 
 def _pace(dispatch, replica_id, pace_s, now=NOW):
     worker = dispatch.worker(replica_id)
-    for _ in range(paces.LEAST_GAPS):
-        worker.pace.saw_gap(pace_s, now)
+    for _ in range(paces.MIN_GAPS):
+        worker.pace.record_gap(pace_s, now)
 
 
 def _work(min_version=1, item_id="i"):
-    return dispatches.Work((0,), "b", item_id, "g", "lm", "m", min_version)
+    return dispatches.WaitingItem(
+        (0,), "b", item_id, "g", "lm", "m", min_version
+    )
 
 
 def _run(replica_id, events):
@@ -53,7 +55,7 @@
     dispatch.worker("r0").running = 1
     dispatch.worker("r1").running = 1
 
-    assert dispatch.choose(_work(), NOW) == "r2"
+    assert dispatch.choose_replica(_work(), NOW) == "r2"
 
 
 def test_the_fast_replicas_fill_first():
@@ -64,38 +66,38 @@
 
     chosen = []
     for _ in range(6):
-        replica_id = dispatch.choose(_work(), NOW)
+        replica_id = dispatch.choose_replica(_work(), NOW)
         dispatch.worker(replica_id).running += 1
         chosen.append(replica_id)
 
     assert chosen[:4] == ["r1", "r2", "r1", "r2"]
     assert chosen[4:] == ["r0", "r0"]
-    assert dispatch.choose(_work(), NOW) is None
+    assert dispatch.choose_replica(_work(), NOW) is None
 
 
 def test_old_versions_and_other_services_get_nothing():
     dispatch = _dispatch(versions=(1, 2, 0))
 
-    assert dispatch.choose(_work(min_version=2), NOW) in ("r1", "r2")
+    assert dispatch.choose_replica(_work(min_version=2), NOW) in ("r1", "r2")
     dispatch.worker("r1").not_before = NOW + 1
     dispatch.worker("r2").not_before = NOW + 1
-    assert dispatch.choose(_work(min_version=2), NOW) is None
-    assert dispatch.choose(_work()._replace(service="x"), NOW) is None
+    assert dispatch.choose_replica(_work(min_version=2), NOW) is None
+    assert dispatch.choose_replica(_work()._replace(service="x"), NOW) is None
 
 
 def test_a_new_version_of_another_model_says_nothing():
     dispatch = _dispatch(versions=(1, 1, 2))
-    dispatch.worker("r0").saw_versions([facts.ModelVersion("other", 9)])
+    dispatch.worker("r0").update_versions([facts.ModelVersion("other", 9)])
 
-    assert dispatch.choose(_work(min_version=2), NOW) == "r2"
+    assert dispatch.choose_replica(_work(min_version=2), NOW) == "r2"
 
 
 def test_a_refused_replica_gets_nothing_until_its_pause_is_over():
     dispatch = _dispatch(versions=(1,))
     dispatch.worker("r0").not_before = NOW + dispatches.REFUSED_PAUSE_S
 
-    assert dispatch.choose(_work(), NOW) is None
-    assert dispatch.choose(_work(), NOW + 1.0) == "r0"
+    assert dispatch.choose_replica(_work(), NOW) is None
+    assert dispatch.choose_replica(_work(), NOW + 1.0) == "r0"
 
 
 @pytest.mark.parametrize(
@@ -106,7 +108,7 @@
     _pace(dispatch, "r0", SLOW_S)
     _pace(dispatch, "r1", FAST_S)
 
-    found = dispatch.moves([_run("r0", events)], NOW)
+    found = dispatch.choose_moves([_run("r0", events)], NOW)
 
     assert bool(found) == moves
 
@@ -116,7 +118,7 @@
     _pace(dispatch, "r0", 1.1 * FAST_S)
     _pace(dispatch, "r1", FAST_S)
 
-    assert not dispatch.moves([_run("r0", 100)], NOW)
+    assert not dispatch.choose_moves([_run("r0", 100)], NOW)
 
 
 def test_no_more_runs_move_than_find_room():
@@ -125,7 +127,7 @@
     _pace(dispatch, "r1", FAST_S)
     dispatch.worker("r1").running = 1
 
-    found = dispatch.moves([_run("r0", 30), _run("r0", 60)], NOW)
+    found = dispatch.choose_moves([_run("r0", 30), _run("r0", 60)], NOW)
 
     assert [move.run.events for move in found] == [60]
 
@@ -136,9 +138,9 @@
         _pace(dispatch, "r0", FAST_S)
     _pace(dispatch, "r1", FAST_S)
     for _ in range(6):
-        dispatch.worker("r0").pace.saw_gap(10 * FAST_S, NOW)
+        dispatch.worker("r0").pace.record_gap(10 * FAST_S, NOW)
 
-    assert not dispatch.moves([_run("r0", 100)], NOW)
+    assert not dispatch.choose_moves([_run("r0", 100)], NOW)
 
 
 def test_a_run_leaves_a_replica_that_turns_slow_for_seconds():
@@ -149,20 +151,20 @@
     at = NOW
     for _ in range(17):
         at += SLOW_S
-        dispatch.worker("r0").pace.saw_gap(SLOW_S, at)
-        dispatch.worker("r1").pace.saw_gap(FAST_S, at)
+        dispatch.worker("r0").pace.record_gap(SLOW_S, at)
+        dispatch.worker("r1").pace.record_gap(FAST_S, at)
 
-    assert dispatch.moves([_run("r0", 100)], at)
+    assert dispatch.choose_moves([_run("r0", 100)], at)
 
 
 def test_a_replica_that_loads_a_model_gets_no_items_of_it():
     dispatch = _dispatch(versions=(1,))
     replica = dispatch.worker("r0").replica
     dispatch.set_replicas([replica._replace(loading=("m",))])
-    assert dispatch.choose(_work(), NOW) is None
+    assert dispatch.choose_replica(_work(), NOW) is None
 
     dispatch.set_replicas([replica._replace(loading=("n",))])
-    assert dispatch.choose(_work(), NOW) == "r0"
+    assert dispatch.choose_replica(_work(), NOW) == "r0"
 
 
 def _long(item_id, tokens=3_000):
@@ -170,9 +172,9 @@
 
 
 def _place(dispatch, work, now=NOW):
-    replica_id = dispatch.choose(work, now)
+    replica_id = dispatch.choose_replica(work, now)
     if replica_id:
-        dispatch.placed(work, replica_id)
+        dispatch.record_assignment(work, replica_id)
     return replica_id
 
 
@@ -206,8 +208,8 @@
     for n, one in enumerate((prompt, other, other, prompt)):
         _place(dispatch, _work(item_id=f"i{n}")._replace(prompt=one))
 
-    assert dispatch.worker("r0").memory.shares("p")
-    assert not dispatch.worker("r0").memory.shares("q")
+    assert dispatch.worker("r0").memory.has_shared_prompt("p")
+    assert not dispatch.worker("r0").memory.has_shared_prompt("q")
 
 
 def _full(dispatch, left):
@@ -228,9 +230,9 @@
     _pace(dispatch, "r0", SLOW_S)
     _pace(dispatch, "r1", FAST_S)
     _full(dispatch, left)
-    long = _work()._replace(kind="new", made=40)
+    long = _work()._replace(kind="new", events_made=40)
 
-    assert dispatch.choose(long, NOW) == (None if waits else "r0")
+    assert dispatch.choose_replica(long, NOW) == (None if waits else "r0")
 
 
 def test_items_that_wait_for_the_same_place_wait_one_after_the_other():
@@ -238,7 +240,7 @@
     _pace(dispatch, "r0", SLOW_S)
     _pace(dispatch, "r1", FAST_S)
     _full(dispatch, 5)
-    long = _work()._replace(kind="new", made=40)
+    long = _work()._replace(kind="new", events_made=40)
 
     chosen = [
         _place(dispatch, long._replace(item_id=f"w{n}")) for n in range(8)
@@ -254,9 +256,9 @@
     _pace(dispatch, "r1", FAST_S)
     _full(dispatch, 5)
     dispatch.set_runs([_run("r1", 0)._replace(kind="k")] * 2, {}, NOW + 1.0)
-    long = _work()._replace(kind="new", made=40)
+    long = _work()._replace(kind="new", events_made=40)
 
-    assert dispatch.choose(long, NOW + 1.0) == "r0"
+    assert dispatch.choose_replica(long, NOW + 1.0) == "r0"
 
 
 def _hungry(dispatch, events):
@@ -265,7 +267,7 @@
         dispatch.lengths.observe("k", 400, 8)
     runs = [
         _run("r0", events)._replace(
-            item_id=f"l{n}", kind="k", guess=400 * (n + 4)
+            item_id=f"l{n}", kind="k", expected_tokens=400 * (n + 4)
         )
         for n in range(4)
     ]
@@ -282,7 +284,7 @@
         _pace(dispatch, replica_id, FAST_S)
     runs = _hungry(dispatch, events)
 
-    found = dispatch.moves(runs, NOW)
+    found = dispatch.choose_moves(runs, NOW)
 
     assert [move.cause.name for move in found] == ["MEMORY"] * moves
     # The one with most to come.
@@ -294,9 +296,9 @@
     dispatch = _dispatch(slots=8)
     for replica_id in ("r0", "r1", "r2"):
         _pace(dispatch, replica_id, FAST_S)
-    runs = [run._replace(moved=1) for run in _hungry(dispatch, 19)]
+    runs = [run._replace(earlier_moves=1) for run in _hungry(dispatch, 19)]
 
-    assert not dispatch.moves(runs, NOW)
+    assert not dispatch.choose_moves(runs, NOW)
 
 
 def test_nothing_moves_for_memory_if_all_engines_are_full():
@@ -304,7 +306,7 @@
     _pace(dispatch, "r0", FAST_S)
     runs = _hungry(dispatch, 19)
 
-    assert not dispatch.moves(runs, NOW)
+    assert not dispatch.choose_moves(runs, NOW)
 
 
 @hypothesis.given(
@@ -313,12 +315,12 @@
     )
 )
 def test_changes_of_single_replicas_lead_to_what_all_at_once_do(changes):
-    dispatch, whole = dispatches.Dispatch(), dispatches.Dispatch()
+    dispatch, whole = dispatches.Dispatcher(), dispatches.Dispatcher()
     replicas_by_id = {}
     for replica_id, slots in changes:
         replica = slots and facts.Replica(replica_id, "lm", None, "z", slots)
         replicas_by_id[replica_id] = replica
-        dispatch.change(replica_id, replica)
+        dispatch.update_replica(replica_id, replica)
         whole.set_replicas(r for r in replicas_by_id.values() if r)
         for one in "abc":
             worker, other = dispatch.worker(one), whole.worker(one)
--- a/packages/decisions/tests/batches/test_lengths.py
+++ b/packages/decisions/tests/batches/test_lengths.py
@@ -6,40 +6,46 @@
 TOKENS_AN_EVENT = 50
 
 
-def _lengths(*counts, guess=0):
-    known = lengths.Lengths()
+def _lengths(*counts, expected_tokens=0):
+    known = lengths.LengthEstimator()
     for events in counts:
-        known.observe("r", guess, events)
+        known.observe("r", expected_tokens, events)
     return known
 
 
 def test_nothing_is_known_of_lengths_at_first():
-    assert _lengths().left("r", 0, 30) == 30
-    assert _lengths(*[5] * 100).left("other", 0, 30) == 30
+    assert _lengths().remaining_events("r", 0, 30) == 30
+    assert _lengths(*[5] * 100).remaining_events("other", 0, 30) == 30
 
 
 def test_what_is_left_grows_in_a_long_tail():
     known = _lengths(*[4] * 70, *[20] * 20, *[100] * 10)
 
-    assert known.left("r", 0, 0) == pytest.approx(16.8)
-    assert known.left("r", 0, 10) == pytest.approx(110 / 3 - 0.0, abs=0.1)
-    assert known.left("r", 0, 30) == pytest.approx(70.0)
+    assert known.remaining_events("r", 0, 0) == pytest.approx(16.8)
+    assert known.remaining_events("r", 0, 10) == pytest.approx(
+        110 / 3 - 0.0, abs=0.1
+    )
+    assert known.remaining_events("r", 0, 30) == pytest.approx(70.0)
 
 
 def test_a_run_longer_than_all_others_has_as_much_left_again():
-    assert _lengths(*[20] * 100).left("r", 0, 40) == 40
+    assert _lengths(*[20] * 100).remaining_events("r", 0, 40) == 40
 
 
 def test_a_guess_is_a_scale():
-    known = lengths.Lengths()
+    known = lengths.LengthEstimator()
     for events in (10, 20, 40) * 10:
         known.observe("r", events * TOKENS_AN_EVENT, events)
 
-    guess = 30 * TOKENS_AN_EVENT
-    assert known.left("r", guess, 0) == pytest.approx(30.0)
-    assert known.left("r", guess, 10) == pytest.approx(20.0)
-    assert known.tokens_an_event("r") == pytest.approx(TOKENS_AN_EVENT)
+    expected_tokens = 30 * TOKENS_AN_EVENT
+    assert known.remaining_events("r", expected_tokens, 0) == pytest.approx(
+        30.0
+    )
+    assert known.remaining_events("r", expected_tokens, 10) == pytest.approx(
+        20.0
+    )
+    assert known.tokens_per_event("r") == pytest.approx(TOKENS_AN_EVENT)
 
 
 def test_without_guesses_the_tokens_of_an_event_are_unknown():
-    assert _lengths(*[20] * 100).tokens_an_event("r") == 0.0
+    assert _lengths(*[20] * 100).tokens_per_event("r") == 0.0
--- a/packages/decisions/tests/batches/test_loading.py
+++ b/packages/decisions/tests/batches/test_loading.py
@@ -14,10 +14,12 @@
     loads, able = [], []
     for wanted in range(first + 1, first + 1 + versions):
         able.append(sum(version >= wanted - lag for version in had))
-        places = [loading.Place(rank, replicas) for rank in range(replicas)]
+        positions = [
+            loading.LoadPosition(rank, replicas) for rank in range(replicas)
+        ]
         waits = [
-            loading.wait_s(had[place.rank], wanted, lag, place)
-            for place in places
+            loading.load_delay_s(had[position.rank], wanted, lag, position)
+            for position in positions
         ]
         loads.append(sum(wait_s is not None for wait_s in waits))
         had = [
@@ -46,21 +48,21 @@
 @pytest.mark.parametrize(("replicas", "lag"), [(3, 1), (6, None), (6, 0)])
 def test_all_load_each_version_where_no_turns_can_be_taken(replicas, lag):
     waits = [
-        loading.wait_s(4, 5, lag, loading.Place(rank, replicas))
+        loading.load_delay_s(4, 5, lag, loading.LoadPosition(rank, replicas))
         for rank in range(replicas)
     ]
 
     assert None not in waits
-    assert min(waits) == loading.SETTLE_S
+    assert min(waits) == loading.FIRST_LOAD_DELAY_S
     together = max(waits.count(wait_s) for wait_s in waits)
-    assert together <= max(1, int(loading.PART_SHARE * replicas))
+    assert together <= max(1, int(loading.MAX_LOADING_SHARE * replicas))
 
 
 def test_an_engine_that_is_too_old_loads_at_once():
-    place = loading.Place(0, 4)
+    position = loading.LoadPosition(0, 4)
 
-    assert loading.wait_s(3, 5, 1, place) == 0.0
-    assert loading.wait_s(1, 5, 1, place) == 0.0
+    assert loading.load_delay_s(3, 5, 1, position) == 0.0
+    assert loading.load_delay_s(1, 5, 1, position) == 0.0
 
 
 def test_engines_that_were_replaced_together_take_turns_again():
@@ -73,12 +75,13 @@
 MODELS = ["k", "l", "m", "n"]
 
 
-def _places(model, models, engines):
-    """Return the `loading.Place` of each engine that keeps a model."""
-    places = (
-        loading.place(engine, model, models, engines) for engine in engines
+def _positions(model, models, engines):
+    """Return the `loading.LoadPosition` of each engine that keeps a model."""
+    positions = (
+        loading.load_position(engine, model, models, engines)
+        for engine in engines
     )
-    return [place for place in places if place is not None]
+    return [position for position in positions if position is not None]
 
 
 def _engines(count):
@@ -99,17 +102,17 @@
 
     kept = {
         engine: sum(
-            loading.place(engine, model, MODELS, engines) is not None
+            loading.load_position(engine, model, MODELS, engines) is not None
             for model in MODELS
         )
         for engine in engines
     }
     assert set(kept.values()) == {each}
     for model in MODELS:
-        places = _places(model, MODELS, engines)
-        assert len(places) >= min(count, loading.LEAST_KEEPERS)
-        ranks = sorted(place.rank for place in places)
-        assert ranks == list(range(len(places)))
+        positions = _positions(model, MODELS, engines)
+        assert len(positions) >= min(count, loading.MIN_ENGINES_PER_MODEL)
+        ranks = sorted(position.rank for position in positions)
+        assert ranks == list(range(len(positions)))
 
 
 @pytest.mark.parametrize("models", [["m"], ["l", "m"]])
@@ -118,12 +121,15 @@
 
     Its steps were late, and worth fell from 0.581 to 0.393.
     """
-    assert len(_places("m", models, _engines(40))) == 40
+    assert len(_positions("m", models, _engines(40))) == 40
 
 
 def test_an_engine_that_is_not_registered_yet_loads():
-    assert loading.place("10.0.1.1:80", "m", MODELS, _engines(19)) is not None
+    assert (
+        loading.load_position("10.0.1.1:80", "m", MODELS, _engines(19))
+        is not None
+    )
 
 
 def test_an_engine_that_does_not_keep_a_model_skips_its_versions():
-    assert loading.wait_s(1, 9, 1, None) is None
+    assert loading.load_delay_s(1, 9, 1, None) is None
--- a/packages/decisions/tests/batches/test_memory.py
+++ b/packages/decisions/tests/batches/test_memory.py
@@ -9,59 +9,63 @@
 
 def _long(shared_id="", shared=0):
     prompt = facts.Prompt(1_000, shared_id, shared)
-    return memory.holding(prompt, 50.0, 10, 30)
+    return memory.memory_demand(prompt, 50.0, 10, 30)
 
 
 def test_a_run_holds_its_prompt_and_its_text_so_far():
-    assert _long() == memory.Holding(1_500.0, 1_500.0)
-    assert _long("p", 900) == memory.Holding(600.0, 1_500.0, "p", 900)
+    assert _long() == memory.MemoryDemand(1_500.0, 1_500.0)
+    assert _long("p", 900) == memory.MemoryDemand(600.0, 1_500.0, "p", 900)
 
 
 def test_four_long_items_do_not_fit_one_engine():
-    engine = memory.Memory(TOTAL)
+    engine = memory.EngineMemory(TOTAL)
     engine.add(_long())
     assert engine.fits(_long())
     engine.add(_long())
     assert not engine.fits(_long())
-    assert engine.fill(_long()) == pytest.approx(1.0)
+    assert engine.peak_share(_long()) == pytest.approx(1.0)
 
 
 def test_a_prompt_that_is_shared_counts_once():
-    engine = memory.Memory(TOTAL)
+    engine = memory.EngineMemory(TOTAL)
     engine.add(_long("p", 900))
     engine.add(_long("p", 900))
 
-    assert engine.shares("p")
-    assert engine.fill(_long("p", 900)) == pytest.approx(0.8)
-    assert engine.fill(_long("q", 900)) == pytest.approx(0.9)
+    assert engine.has_shared_prompt("p")
+    assert engine.peak_share(_long("p", 900)) == pytest.approx(0.8)
+    assert engine.peak_share(_long("q", 900)) == pytest.approx(0.9)
 
 
 def test_any_run_fits_an_engine_that_does_not_tell_its_memory():
-    engine = memory.Memory(0)
+    engine = memory.EngineMemory(0)
     for _ in range(100):
         engine.add(_long())
 
     assert engine.fits(_long())
-    assert engine.fill(_long()) == 0.0
+    assert engine.peak_share(_long()) == 0.0
 
 
 def test_memory_is_short_by_what_is_held_now():
-    engine = memory.Memory(TOTAL)
+    engine = memory.EngineMemory(TOTAL)
     for _ in range(5):
         engine.add(_long())
     assert not engine.fits(_long())
-    assert not engine.is_short
+    assert not engine.is_nearly_full
 
     engine.add(_long("p", 500))
-    assert engine.is_short
+    assert engine.is_nearly_full
 
 
 def test_what_ends_sooner_has_freed_its_memory_by_then():
     """A long item beside short ones needs less than all their ends."""
-    engine = memory.Memory(TOTAL)
+    engine = memory.EngineMemory(TOTAL)
     for left in (100.0, 500.0, 6_000.0):
-        engine.add(memory.Holding(1_000.0, left))
+        engine.add(memory.MemoryDemand(1_000.0, left))
 
     # At the end of the third: its own and the new one's.
-    assert engine.fill(memory.Holding(1_000.0, 100.0)) == pytest.approx(7 / 9)
-    assert engine.fill(memory.Holding(0.0, 6_000.0)) == pytest.approx(13 / 9)
+    assert engine.peak_share(
+        memory.MemoryDemand(1_000.0, 100.0)
+    ) == pytest.approx(7 / 9)
+    assert engine.peak_share(
+        memory.MemoryDemand(0.0, 6_000.0)
+    ) == pytest.approx(13 / 9)
--- a/packages/decisions/tests/batches/test_shortlists.py
+++ b/packages/decisions/tests/batches/test_shortlists.py
@@ -11,7 +11,7 @@
 
 
 def _dispatch(replicas):
-    dispatch = dispatches.Dispatch()
+    dispatch = dispatches.Dispatcher()
     dispatch.set_replicas(
         facts.Replica(f"r{n}", "lm", None, "a", SLOTS) for n in range(replicas)
     )
@@ -20,10 +20,10 @@
 
 def _start(dispatch, items, now=NOW):
     """Start so many items; return the replicas that took them."""
-    work = dispatches.Work((0,), "b", "i", "g", "lm", "m", 1)
+    work = dispatches.WaitingItem((0,), "b", "i", "g", "lm", "m", 1)
     taken = []
     for _ in range(items):
-        replica_id = dispatch.choose(work, now)
+        replica_id = dispatch.choose_replica(work, now)
         if replica_id is not None:
             dispatch.worker(replica_id).running += 1
             taken.append(replica_id)
@@ -41,11 +41,11 @@
 def test_a_step_is_spread_and_costs_little_a_replica(monkeypatch, replicas):
     """The first items of three trainers, 264 at 30 machines, ten times."""
     looks = []
-    may_take = workers.may_take
+    can_start = workers.can_start
     monkeypatch.setattr(
         workers,
-        "may_take",
-        lambda *args: looks.append(1) or may_take(*args),
+        "can_start",
+        lambda *args: looks.append(1) or can_start(*args),
     )
     dispatch = _dispatch(replicas)
     items = SLOTS * 300
@@ -54,7 +54,7 @@
 
     assert len(taken) == items
     assert max(map(taken.count, set(taken))) <= SLOTS
-    assert len(looks) < 5 * shortlists.SIZE * items
+    assert len(looks) < 5 * shortlists.SHORTLIST_SIZE * items
 
 
 def test_with_no_place_left_nothing_is_looked_at_again(monkeypatch):
@@ -62,7 +62,7 @@
     _start(dispatch, SLOTS * 300)
     looks = []
     monkeypatch.setattr(
-        workers, "may_take", lambda *args: looks.append(1) and False
+        workers, "can_start", lambda *args: looks.append(1) and False
     )
 
     assert not _start(dispatch, 1000, NOW + 1.0)
--- a/packages/decisions/tests/batches/test_places.py
+++ b/packages/decisions/tests/batches/test_slots.py
@@ -7,7 +7,7 @@
 import collections
 import random
 
-from anvilwell_decisions.batches import places
+from anvilwell_decisions.batches import slots as home_slots
 import pytest
 
 SLOTS = 8
@@ -24,7 +24,7 @@
 
     def __init__(self, vm_id):
         self.vm_id = vm_id
-        self.places = places.Places(vm_id)
+        self.slots = home_slots.HomeSlots(vm_id)
         self.waiting = collections.deque()
         self.running = collections.Counter()
         self.ends = []
@@ -47,7 +47,7 @@
 
     def set_homes(self, vm_ids):
         for home in self.homes.values():
-            home.places.set_homes(tuple(vm_ids))
+            home.slots.set_homes(tuple(vm_ids))
 
     @property
     def now(self):
@@ -79,7 +79,7 @@
             home.running[replica] -= 1
             self.done[item] += 1
         for lender, counts, asked_at in home.answers:
-            home.places.borrowed(lender, counts, asked_at)
+            home.slots.record_loan(lender, counts, asked_at)
         home.answers = []
         for replica in self._rooms(home):
             if home.waiting:
@@ -91,7 +91,7 @@
             self._ask(home)
 
     def _room(self, home, replica):
-        limit = home.places.limit(replica, SLOTS, self.now)
+        limit = home.slots.limit(replica, SLOTS, self.now)
         return limit - home.running[replica]
 
     def _rooms(self, home):
@@ -105,30 +105,32 @@
         ]
 
     def _ask(self, home):
-        for lender_id in home.places.lenders:
+        for lender_id in home.slots.lenders:
             lender = self.homes[lender_id]
             using = {
                 one: count
                 for one, count in home.running.items()
-                if count and home.places.owner(one) == lender_id
+                if count and home.slots.owner(one) == lender_id
             }
             if not (using or home.waiting):
                 continue
-            home.places.asks(lender_id, using, self.now)
+            home.slots.record_request(lender_id, using, self.now)
             if lender.is_cut or not lender.lives:
                 continue
-            ask = places.Ask("lm", home.vm_id, len(home.waiting), using)
+            ask = home_slots.SlotRequest(
+                "lm", home.vm_id, len(home.waiting), using
+            )
             own = [
                 one
                 for one in self.replicas
-                if lender.places.owner(one) == lender_id
+                if lender.slots.owner(one) == lender_id
             ]
             rooms = (
                 {}
                 if lender.waiting
                 else {one: self._room(lender, one) for one in own}
             )
-            counts = lender.places.lend(ask, SLOTS * len(own), rooms, self.now)
+            counts = lender.slots.lend(ask, SLOTS * len(own), rooms, self.now)
             home.answers.append((lender_id, counts, self.now))
 
     @property
@@ -238,5 +240,5 @@
 def test_batches_that_one_vm_runs_have_one_home(
     items, cores, link_mbps, homes
 ):
-    carried = places.carried(cores, link_mbps)
-    assert places.homes_needed(items, carried, MODELS) == homes
+    carried = home_slots.item_capacity(cores, link_mbps)
+    assert home_slots.homes_needed(items, carried, MODELS) == homes
--- a/packages/decisions/tests/duties/test_choice.py
+++ b/packages/decisions/tests/duties/test_rendezvous.py
@@ -1,6 +1,6 @@
 import collections
 
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.duties import rendezvous
 import hypothesis
 from hypothesis import strategies as st
 
@@ -8,18 +8,18 @@
 
 
 def test_nobody_has_a_duty_where_nobody_is():
-    assert choice.chosen("watch", []) is None
+    assert rendezvous.choose_vm("watch", []) is None
 
 
 @hypothesis.given(st.permutations(VMS), st.text(max_size=9))
 def test_all_choose_alike_in_whatever_order_they_know_the_vms(vms, duty):
-    assert choice.chosen(duty, vms) == choice.chosen(duty, VMS)
+    assert rendezvous.choose_vm(duty, vms) == rendezvous.choose_vm(duty, VMS)
 
 
 @hypothesis.given(st.sampled_from(VMS), st.text(max_size=9))
 def test_a_vm_that_goes_moves_only_its_own_duties(gone, duty):
-    before = choice.chosen(duty, VMS)
-    after = choice.chosen(duty, [vm for vm in VMS if vm != gone])
+    before = rendezvous.choose_vm(duty, VMS)
+    after = rendezvous.choose_vm(duty, [vm for vm in VMS if vm != gone])
 
     assert after != gone
     if before != gone:
@@ -28,7 +28,7 @@
 
 def test_duties_are_spread():
     counts = collections.Counter(
-        choice.chosen(f"duty-{number}", VMS) for number in range(1200)
+        rendezvous.choose_vm(f"duty-{number}", VMS) for number in range(1200)
     )
 
     assert set(counts) == set(VMS)
--- a/packages/decisions/tests/leases/test_leases.py
+++ b/packages/decisions/tests/leases/test_leases.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 import pytest
 
-from anvilwell_decisions.leases import door
+from anvilwell_decisions.leases import fencing
 from anvilwell_decisions.leases import leadership
 from anvilwell_decisions.leases import session as sessions
 from anvilwell_kernel import exceptions
@@ -99,24 +99,24 @@
             if not is_answer_lost:
                 self.session.renewed(call.lease, sent_at, granted_s)
 
-    def stand(self, is_answer_lost):
+    def run_for_leadership(self, is_answer_lost):
         lease = self.session.lease
         if not self.session.is_held(self.store.now):
             return
         found = dict(self.store.entries_by_key)
-        standing = self.leadership.stand(found, lease)
+        standing = self.leadership.standing(found, lease)
         if standing is leadership.Standing.OURS:
-            self.tenure = self.leadership.tenure(found, lease)
+            self.tenure = self.leadership.read_tenure(found, lease)
         elif standing is leadership.Standing.FREE:
-            writes = self.leadership.take(found, lease)
+            writes = self.leadership.takeover_writes(found, lease)
             if self.store.swap(writes) and not is_answer_lost:
-                self.tenure = self.leadership.won(writes, lease)
+                self.tenure = self.leadership.won_tenure(writes, lease)
 
     def check(self):
         if self.tenure is None:
             return False
         try:
-            leadership.check(self.tenure, self.session, self.store.now)
+            leadership.check_tenure(self.tenure, self.session, self.store.now)
         except exceptions.Fenced:
             return False
         return True
@@ -134,8 +134,8 @@
         self.store = Store()
         ids = ("vm0", "vm0", "vm1")
         self.daemons = [Daemon(vm_id, self.store) for vm_id in ids]
-        self.door = door.Door()
-        self.door.learn(0)
+        self.gate = fencing.FencingGate()
+        self.gate.raise_to(0)
         self.holders_by_number = {}
         self.late_orders = []
         self.highest_passed = 0
@@ -165,7 +165,7 @@
         if not self.daemons[who].session.is_held(self.store.now):
             self.daemons[who].renew(False)
             self.daemons[who].renew(False)
-        self.daemons[who].stand(lost)
+        self.daemons[who].run_for_leadership(lost)
 
     @stateful.rule()
     def store_forgets_a_lease(self):
@@ -192,7 +192,7 @@
 
     def deliver(self, number):
         try:
-            self.door.admit(number)
+            self.gate.admit(number)
         except (exceptions.Fenced, exceptions.Refused):
             return
         assert number >= self.highest_passed
@@ -200,13 +200,13 @@
 
     @stateful.rule()
     def agent_restarts(self):
-        self.door = door.Door()
+        self.gate = fencing.FencingGate()
 
     @stateful.rule()
     def agent_reads_counter(self):
         if not self.is_down:
             found = self.store.entries_by_key
-            self.door.learn(leadership.read_fencing(found, NAME))
+            self.gate.raise_to(leadership.read_fencing(found, NAME))
 
     @stateful.invariant()
     def no_two_hold_one_number(self):
@@ -239,7 +239,7 @@
     store = Store()
     daemon = Daemon("vm0", store)
     daemon.renew(False)
-    daemon.stand(False)
+    daemon.run_for_leadership(False)
     return daemon
 
 
@@ -250,10 +250,10 @@
     assert not held.check()
     other = Daemon("vm1", held.store)
     other.renew(False)
-    other.stand(False)
+    other.run_for_leadership(False)
     assert other.tenure is None
     held.store.advance(2.0)
-    other.stand(False)
+    other.run_for_leadership(False)
     assert other.tenure.fencing == held.tenure.fencing + 1
 
 
@@ -261,9 +261,9 @@
     store = Store()
     daemon = Daemon("vm0", store)
     daemon.renew(False)
-    daemon.stand(True)
+    daemon.run_for_leadership(True)
     assert daemon.tenure is None
-    daemon.stand(False)
+    daemon.run_for_leadership(False)
     assert daemon.tenure.fencing == 1
 
 
@@ -277,26 +277,26 @@
 def test_restarted_candidate_does_not_take_its_old_key_for_its_own(held):
     again = Daemon("vm0", held.store)
     again.renew(False)
-    again.stand(False)
+    again.run_for_leadership(False)
     assert again.tenure is None
 
 
 def test_door_passes_nothing_until_it_knows_the_highest_number():
-    guard = door.Door()
+    gate = fencing.FencingGate()
     with pytest.raises(exceptions.Refused) as raised:
-        guard.admit(7)
+        gate.admit(7)
     assert raised.value.reason is reasons.Refusal.KEY_VALUE_UNAVAILABLE
-    guard.learn(8)
+    gate.raise_to(8)
     with pytest.raises(exceptions.Fenced):
-        guard.admit(7)
-    guard.admit(8)
+        gate.admit(7)
+    gate.admit(8)
 
 
 def test_number_goes_above_what_a_door_knows_after_the_store_lost_data():
     daemon = Daemon("vm0", Store())
     daemon.renew(False)
-    daemon.leadership.refused(41)
-    daemon.stand(False)
+    daemon.leadership.record_higher(41)
+    daemon.run_for_leadership(False)
     assert daemon.tenure.fencing == 42
 
 
@@ -305,6 +305,6 @@
     held.renew(False)
     assert not held.check()
     held.renew(False)
-    held.stand(False)
+    held.run_for_leadership(False)
     assert held.check()
     assert held.tenure.fencing == 2
--- a/packages/decisions/tests/rollout/test_rollout.py
+++ b/packages/decisions/tests/rollout/test_rollout.py
@@ -44,7 +44,7 @@
         """Start the agent; its engine goes on with what it was at."""
         self.starts += 1
         self.swap = swap.Swap(self.vm_id, random.Random(0), now)
-        self.swap.door.learn(highest)
+        self.swap.gate.raise_to(highest)
         self.swap.read(self.engine_version, now)
         if self.running:
             self.late = self.running
--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -232,10 +232,10 @@
                 self._move_each(kept)
 
     def _place(self, model, version_by_model, addresses):
-        """Return the `loading.Place` of an engine with such versions."""
+        """Return the engine's `loading.LoadPosition` for a model."""
         wanted = set(self._versions.wanted_by_model)
         models = wanted.intersection(version_by_model)
-        return loading.place(self._backend, model, models, addresses)
+        return loading.load_position(self._backend, model, models, addresses)
 
     def _has_lost(self, report):
         """Take in a report; return whether its engine lost a version."""
@@ -300,7 +300,7 @@
             self._left_out.add(model)
         else:
             self._left_out.discard(model)
-        wait_s = loading.wait_s(had, wanted, lag, place)
+        wait_s = loading.load_delay_s(had, wanted, lag, place)
         if wait_s is None:
             _LOG.log(
                 "version-skipped",
@@ -319,7 +319,7 @@
         The shortest one that was seen counts: a step that comes when its
         trainer is late allows fewer versions behind the newest.
         """
-        await asyncio.sleep(loading.SETTLE_S)
+        await asyncio.sleep(loading.FIRST_LOAD_DELAY_S)
         min_versions_by_model = await self._notice_sender.send(
             self._notice(report)
         )
--- a/packages/gateway/anvilwell_gateway/batches/homes.py
+++ b/packages/gateway/anvilwell_gateway/batches/homes.py
@@ -9,8 +9,8 @@
 models; `sharing` keeps their counts apart.
 """
 
-from anvilwell_decisions.batches import places
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.batches import slots as home_slots
+from anvilwell_decisions.duties import rendezvous
 
 # VMs differ by a factor of six in what they can process. Gathered batches
 # go to those with at least this share of the best one's capacity.
@@ -50,7 +50,7 @@
     def all(self, service):
         """Return the homes of a service, the first one first."""
         able = self._able()
-        ranked = choice.ranked(f"run batches of {service}", able)
+        ranked = rendezvous.rank_vms(f"run batches of {service}", able)
         return tuple(ranked[: self._count(service, able)])
 
     def _able(self):
@@ -66,7 +66,7 @@
     def _count(self, service, able):
         carried = min(
             (
-                places.carried(live.capacity, live.link_mbps)
+                home_slots.item_capacity(live.capacity, live.link_mbps)
                 for live in able.values()
             ),
             default=0.0,
@@ -75,7 +75,7 @@
         if items <= carried:
             return 1
         slots = sum(one.slots for one in self._replicas(service))
-        return places.homes_needed(
+        return home_slots.homes_needed(
             min(items, slots), carried, len(self._models(service))
         )
 
--- a/packages/gateway/anvilwell_gateway/batches/owned_batch.py
+++ b/packages/gateway/anvilwell_gateway/batches/owned_batch.py
@@ -4,7 +4,7 @@
 import contextlib
 
 from anvilwell_decisions.batches import batch_state as batch_states
-from anvilwell_decisions.batches import order
+from anvilwell_decisions.batches import item_order
 from anvilwell_gateway import tasks
 
 
@@ -29,7 +29,7 @@
         self.submission = submission
         self.give_up_at = give_up_at
         submitted_at = give_up_at - route.max_queue_s
-        self.late_at = order.late_at(submitted_at, route.due_s)
+        self.late_at = item_order.too_late_at(submitted_at, route.due_s)
         self.opened_at = asyncio.get_running_loop().time()
         self.book = batch_states.BatchState(
             submission, route.max_replicas, route.one_version
--- a/packages/gateway/anvilwell_gateway/batches/records.py
+++ b/packages/gateway/anvilwell_gateway/batches/records.py
@@ -61,7 +61,7 @@
 _OWNER = pydantic.TypeAdapter(Owner)
 _SUBMISSION = pydantic.TypeAdapter(StoredSubmission)
 _RESULTS = pydantic.TypeAdapter(tuple[facts.Result, ...])
-_SAVED = pydantic.TypeAdapter(tuple[progress.Saved, ...])
+_SAVED = pydantic.TypeAdapter(tuple[progress.SavedProgress, ...])
 
 
 def _dump(value):
--- a/packages/gateway/anvilwell_gateway/batches/retention.py
+++ b/packages/gateway/anvilwell_gateway/batches/retention.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.duties import rendezvous
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
@@ -97,7 +97,8 @@
         """Return whether this entry deletes what is left of a batch."""
         duty = f"delete {batch_id}"
         return (
-            choice.chosen(duty, self._news.incarnations_by_vm) == self._vm_id
+            rendezvous.choose_vm(duty, self._news.incarnations_by_vm)
+            == self._vm_id
         )
 
     def _orphaned(self):
--- a/packages/gateway/anvilwell_gateway/batches/runner.py
+++ b/packages/gateway/anvilwell_gateway/batches/runner.py
@@ -119,7 +119,7 @@
             reply = await connection.read_head()
         outcome = self._dialect.read_outcome(reply)
         if outcome.load:
-            pace.saw_load(outcome.load, asyncio.get_running_loop().time())
+            pace.record_load(outcome.load, asyncio.get_running_loop().time())
         ended = _judge(reply, outcome, order)
         if ended is None:
             return await self._read(
@@ -154,7 +154,7 @@
                 _add(order.progress, event, version)
                 now = loop.time()
                 if last_at is not None:
-                    pace.saw_gap(now - last_at, now)
+                    pace.record_gap(now - last_at, now)
                 last_at = now
         if buffered.strip():
             raise client.call_error(
@@ -166,7 +166,7 @@
 def _add(progress, event, version):
     try:
         progress.add(event, version)
-    except progresses.Gap as error:
+    except progresses.EventGap as error:
         raise client.call_error(f"events are missing: {error}") from error
 
 
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -6,8 +6,8 @@
 import random
 
 from anvilwell_decisions.batches import dispatch as dispatches
+from anvilwell_decisions.batches import item_order
 from anvilwell_decisions.batches import moves
-from anvilwell_decisions.batches import order as orders
 from anvilwell_decisions.traffic import facts
 from anvilwell_decisions.traffic import table
 from anvilwell_gateway.batches import runner as runners
@@ -79,8 +79,8 @@
         self._runner = runner
         self._batches_by_id = batches_by_id
         self._on_text = on_text
-        self._dispatch = dispatches.Dispatch()
-        self._moved = moves.Moved()
+        self._dispatch = dispatches.Dispatcher()
+        self._move_history = moves.MoveHistory()
         self._slot_sharing = slot_sharing
         slot_sharing.use_of = self._use
         slot_sharing.on_change = self._limits_changed
@@ -193,7 +193,9 @@
         for replica_id in changed_ids:
             replica = self._directory.find_usable(replica_id)
             is_ours = replica is not None and replica.service in self._services
-            self._dispatch.change(replica_id, replica if is_ours else None)
+            self._dispatch.update_replica(
+                replica_id, replica if is_ours else None
+            )
 
     def _move(self, now):
         """Stop runs that should go on at a faster replica."""
@@ -206,11 +208,11 @@
         ]
         self._dispatch.set_runs(runs, self._tokens_by_service(), now)
         movable = [run for run in runs if self._may_move(run)]
-        for move in self._dispatch.moves(movable, now):
+        for move in self._dispatch.choose_moves(movable, now):
             run = move.run
             batch = self._batches_by_id[run.batch_id]
             batch.tasks_by_item[run.item_id].cancel(str(move.cause))
-            self._moved.moved(move, now)
+            self._move_history.record(move, now)
             counters.count_retry(reasons.Retry.HEDGE, run.service)
             _LOG.log(
                 "item-moved",
@@ -219,10 +221,10 @@
                 replica=run.replica_id,
                 cause=str(move.cause),
                 made=run.events,
-                left=round(move.left, 1),
+                left=round(move.remaining_events, 1),
                 stay_s=round(move.stay_s, 3),
                 gain_s=round(move.gain_s, 3),
-                moved=run.moved,
+                moved=run.earlier_moves,
             )
 
     def _may_move(self, run):
@@ -238,7 +240,7 @@
         }
 
     def _works(self, batch):
-        """Return a `Work` for each item of `held` that should run."""
+        """Return a `WaitingItem` for each item of `held` that should run."""
         book = batch.book
         items = [
             book.items_by_id[item_id]
@@ -252,9 +254,9 @@
             return []
         is_late = asyncio.get_running_loop().time() > batch.late_at
         return [
-            dispatches.Work(
+            dispatches.WaitingItem(
                 (
-                    orders.place(
+                    item_order.sort_key(
                         batch.sequence, is_late, self._has_text(batch, item)
                     ),
                     -item.expected_tokens,
@@ -307,13 +309,13 @@
 
     def _start(self, work, now):
         """Start one item if a replica takes it now; return whether."""
-        replica_id = self._dispatch.choose(work, now)
+        replica_id = self._dispatch.choose_replica(work, now)
         if replica_id is None:
             return False
         batch = self._batches_by_id[work.batch_id]
         batch.book.mark_running(work.item_id)
         worker = self._dispatch.worker(replica_id)
-        self._dispatch.placed(work, replica_id)
+        self._dispatch.record_assignment(work, replica_id)
         progress = batch.book.progress_by_id[work.item_id]
         if not batch.route.is_resumable:
             progress.restart()
@@ -326,9 +328,9 @@
             work.model,
             work.min_version,
             work.kind,
-            work.guess,
+            work.expected_tokens,
             work.prompt,
-            self._moved.times(work.batch_id, work.item_id),
+            self._move_history.count(work.batch_id, work.item_id),
         )
         task = asyncio.create_task(self._run(batch, work, worker))
         # Not in the task: one that is cancelled early never runs at all.
@@ -405,7 +407,7 @@
         now = asyncio.get_running_loop().time()
         if ended.version:
             seen = facts.ModelVersion(work.model, ended.version)
-            worker.saw_versions([seen])
+            worker.update_versions([seen])
         book = batch.book
         if ended.end is runners.End.WHOLE:
             self._observe(batch, work, now)
@@ -433,19 +435,21 @@
     def _observe(self, batch, work, now):
         """Take in how long a whole text is, and what its moves brought."""
         events = batch.book.progress_by_id[work.item_id].last_number
-        self._dispatch.lengths.observe(work.kind, work.guess, events)
-        brought = self._moved.ended(work.batch_id, work.item_id, events, now)
-        if brought is None:
+        self._dispatch.lengths.observe(work.kind, work.expected_tokens, events)
+        savings = self._move_history.pop_savings(
+            work.batch_id, work.item_id, events, now
+        )
+        if savings is None:
             return
-        measures.count_move(brought.gained_s)
+        measures.count_move(savings.gained_s)
         _LOG.log(
             "item-move-ended",
             batch_id=batch.batch_id,
             item_id=work.item_id,
-            moves=brought.moves,
-            expected_s=round(brought.expected_s, 3),
-            gained_s=round(brought.gained_s, 3),
-            tokens_again=round(brought.tokens_again),
+            moves=savings.moves,
+            expected_s=round(savings.expected_s, 3),
+            gained_s=round(savings.gained_s, 3),
+            tokens_again=round(savings.tokens_again),
             events=events,
         )
 
--- a/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
@@ -48,7 +48,9 @@
         self._configuration = configuration
         self._dialect = dialect
         self._batches_by_id = batches_by_id
-        self._pacers_by_service = collections.defaultdict(scoring.Pacer)
+        self._limiters_by_service = collections.defaultdict(
+            scoring.ScoringLimiter
+        )
         self._timer = timers.Timer(self.schedule)
 
     def stop(self):
@@ -90,18 +92,18 @@
         route = self._route(scoring_call)
         if route is None:
             return False
-        pacer = self._pacer(route, slots_by_service)
-        if not pacer.has_room(now):
+        limiter = self._limiter(route, slots_by_service)
+        if not limiter.may_start(now):
             return False
         batch.book.mark_scoring(item_id)
-        pacer.running += 1
+        limiter.running += 1
         task = asyncio.create_task(
-            self._score(batch, item_id, scoring_call, route, pacer)
+            self._score(batch, item_id, scoring_call, route, limiter)
         )
         batch.scorings_by_item[item_id] = task
         # Not in the task: one that is cancelled early never runs at all.
         task.add_done_callback(
-            functools.partial(self._release, batch, item_id, pacer)
+            functools.partial(self._release, batch, item_id, limiter)
         )
         return True
 
@@ -113,15 +115,15 @@
             return None
         return route._replace(is_idempotent=True)
 
-    def _pacer(self, route, slots_by_service):
+    def _limiter(self, route, slots_by_service):
         services = [target.service for target in route.targets]
-        pacer = self._pacers_by_service[services[0]]
+        limiter = self._limiters_by_service[services[0]]
         slots = sum(slots_by_service[service] for service in set(services))
-        pacer.set_slots(slots)
-        return pacer
+        limiter.set_slots(slots)
+        return limiter
 
-    def _release(self, batch, item_id, pacer, task):
-        pacer.running -= 1
+    def _release(self, batch, item_id, limiter, task):
+        limiter.running -= 1
         if batch.scorings_by_item.get(item_id) is task:
             del batch.scorings_by_item[item_id]
         batch.book.mark_not_scored(item_id)
@@ -136,20 +138,20 @@
         """Let an item wait before its next call."""
         progress = batch.book.progress_by_id[item_id]
         progress.scoring_rounds += 1
-        pause_s = scoring.pause_s(progress.scoring_rounds)
+        pause_s = scoring.retry_delay_s(progress.scoring_rounds)
         now = asyncio.get_running_loop().time()
         progress.scoring_not_before = now + pause_s
 
-    async def _score(self, batch, item_id, scoring_call, route, pacer):
+    async def _score(self, batch, item_id, scoring_call, route, limiter):
         """Make one round of attempts at the score of one item."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        limit_s = pacer.limit_s(route)
+        limit_s = limiter.limit_s(route)
         attempt = self._attempts(batch, scoring_call, route, limit_s)
-        seal, cause = await self._seal(attempt, pacer)
+        seal, cause = await self._seal(attempt, limiter)
         took_s = loop.time() - started_at
         if seal:
-            pacer.answered(took_s)
+            limiter.record_score(took_s)
             batch.book.mark_scored(item_id, seal)
         else:
             most = max(route.max_replicas, batch.route.max_replicas)
@@ -185,13 +187,13 @@
         call = dialects.Call(scoring_call.call_id, limit_s)
         return self._forwarder.attempts(route, call, request)
 
-    async def _seal(self, attempt, pacer):
+    async def _seal(self, attempt, limiter):
         """Return the seal that `attempt` brings, "" with why there is none."""
         try:
             answer = await attempt.run()
         except exceptions.AnvilwellError as error:
             if error.verdict is verdicts.Verdict.NOT_RUN:
-                pacer.refused(asyncio.get_running_loop().time())
+                limiter.record_refusal(asyncio.get_running_loop().time())
             return "", error.message
         if answer.status >= 300:
             return "", f"status {answer.status}"
--- a/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
@@ -6,7 +6,7 @@
 import cbor2
 import pydantic
 
-from anvilwell_decisions.batches import places
+from anvilwell_decisions.batches import slots as home_slots
 from anvilwell_gateway.http import client
 from anvilwell_gateway import measures
 from anvilwell_gateway import peer_calls
@@ -20,7 +20,7 @@
 # A lender answers from memory. One that needs longer keeps its places.
 LIMITS = peer_calls.CallLimits(timeout_s=0.3, max_bytes=1 << 20)
 
-_ASK = pydantic.TypeAdapter(places.Ask)
+_ASK = pydantic.TypeAdapter(home_slots.SlotRequest)
 _COUNTS = pydantic.TypeAdapter(dict[str, int])
 
 _LOG = logs.get_logger(__name__)
@@ -72,7 +72,7 @@
         before = any(map(self.is_split, services))
         for service in services:
             known = self._places_by_service.setdefault(
-                service, places.Places(self._vm_id)
+                service, home_slots.HomeSlots(self._vm_id)
             )
             known.set_homes(self._homes.all(service))
         return before or any(map(self.is_split, services))
@@ -108,7 +108,7 @@
             is_due = asked_at is None or now - asked_at >= ASK_S
             if is_due and (use.waiting or using_by_replica):
                 self._asked_at_by_key[service, lender] = now
-                ask = places.Ask(
+                ask = home_slots.SlotRequest(
                     service, self._vm_id, use.waiting, using_by_replica
                 )
                 self._start(self._ask(lender, ask, known, now))
@@ -119,7 +119,7 @@
         task.add_done_callback(self._asking.discard)
 
     async def _ask(self, lender, ask, known, now):
-        known.asks(lender, ask.using_by_replica, now)
+        known.record_request(lender, ask.using_by_replica, now)
         self.on_change()
         address = self._news.addresses_by_vm.get(lender)
         if address is None:
@@ -136,7 +136,7 @@
         ) as error:
             _LOG.log("places-not-lent", lender=lender, cause=repr(error))
             return
-        known.borrowed(lender, counts_by_replica, now)
+        known.record_loan(lender, counts_by_replica, now)
         self.on_change()
 
     async def answer(self, request, responder):
@@ -151,13 +151,13 @@
             for worker in use.workers
             if known.owner(worker.replica.replica_id) == self._vm_id
         ]
-        rooms_by_replica = {
-            worker.replica.replica_id: worker.room
+        free_slots_by_replica = {
+            worker.replica.replica_id: worker.free_slots
             for worker in own
             if not use.waiting and worker.not_before <= now
         }
         slots = sum(worker.replica.slots for worker in own)
-        counts_by_replica = known.lend(ask, slots, rooms_by_replica, now)
+        counts_by_replica = known.lend(ask, slots, free_slots_by_replica, now)
         _LOG.routine(
             "places-lent",
             borrower=ask.borrower,
@@ -175,8 +175,8 @@
         ]
         if not split:
             return []
-        lent = sum(known.all_lent(now) for known in split)
-        borrowed = sum(known.all_borrowed(now) for known in split)
+        lent = sum(known.lent_count(now) for known in split)
+        borrowed = sum(known.borrowed_count(now) for known in split)
         return [
             measures.GaugeValue("places_lent", lent),
             measures.GaugeValue("places_borrowed", borrowed),
--- a/packages/gateway/anvilwell_gateway/duties/holding.py
+++ b/packages/gateway/anvilwell_gateway/duties/holding.py
@@ -9,7 +9,7 @@
 
 import asyncio
 
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.duties import rendezvous
 from anvilwell_decisions.leases import leadership
 from anvilwell_gateway import news as news_
 from anvilwell_gateway import tasks
@@ -73,7 +73,7 @@
             If another may hold the duty, or have acted just before.
         """
         now = self._clock()
-        leadership.check(self._won, self._session, now)
+        leadership.check_tenure(self._won, self._session, now)
         if now < self._free_at:
             raise exceptions.Fenced(
                 "what the holder before has sent may still arrive",
@@ -151,7 +151,7 @@
             return
         self._is_vacant = False
         try:
-            found = leadership.HOLDER.validate_json(value)
+            found = leadership.HOLDER_ADAPTER.validate_json(value)
         except ValueError as error:
             _LOG.log("holder-unreadable", duty=self._name, cause=str(error))
             return
@@ -179,7 +179,7 @@
 
     def _is_our_turn(self, now):
         mine = self._presence.vm_id
-        ranked = choice.ranked(
+        ranked = rendezvous.rank_vms(
             self._name, {*self._news.incarnations_by_vm, mine}
         )
         delay_s = RANK_DELAY_S * ranked.index(mine)
@@ -189,20 +189,20 @@
         lease = self._presence.session.lease
         snapshot = await self._store.get_prefix(self._keys.prefix)
         found = snapshot.entries_by_key
-        standing = self._leadership.stand(found, lease)
+        standing = self._leadership.standing(found, lease)
         if standing is leadership.Standing.OTHERS:
             self._learn(found[self._keys.holder].value)
             return
         if standing is leadership.Standing.OURS:
-            won = self._leadership.tenure(found, lease)
+            won = self._leadership.read_tenure(found, lease)
         else:
-            writes = self._leadership.take(found, lease)
+            writes = self._leadership.takeover_writes(found, lease)
             result = await self._store.swap(
                 [keyvalue.Swap(*write) for write in writes]
             )
             if not result.landed:
                 return
-            won = self._leadership.won(writes, lease)
+            won = self._leadership.won_tenure(writes, lease)
         _LOG.log("duty-taken", duty=self._name, fencing=won.fencing)
         self.tenure = Tenure(
             won,
--- a/packages/gateway/anvilwell_gateway/duties/reporting.py
+++ b/packages/gateway/anvilwell_gateway/duties/reporting.py
@@ -81,7 +81,7 @@
         self._window_s = settings.window_s
         self._late_s = settings.late_s
         self._clock = asyncio.get_running_loop().time
-        self._gathered = usage.Gathered(settings.window_s)
+        self._collected = usage.CollectedCounts(settings.window_s)
         self._true_time = usage.TrueTime()
         self._loaded_for = None
         self._ledger = usage.Ledger()
@@ -90,7 +90,7 @@
         self._task = None
 
     def hear(self, told):
-        """Take a `usage.Told`; return true time, None if it is not known.
+        """Add a `usage.ProcessCounts`; return true time, None if unknown.
 
         Raises
         ------
@@ -100,8 +100,8 @@
         is_holder = self._duty.holder == self._presence.vm_id
         if self._task is None or not is_holder:
             raise exceptions.Refused("this VM does not report usage")
-        self._true_time.hear(told.vm_id, told.wall_time, self._clock())
-        self._gathered.take(told)
+        self._true_time.record(told.vm_id, told.wall_time, self._clock())
+        self._collected.add(told)
         return self._true_now() if self._knows_time() else None
 
     def start(self):
@@ -119,7 +119,7 @@
                 cause = "the ledger was being read or written"
                 _LOG.log("usage-not-left", cause=cause)
             return
-        told = tuple(self._gathered.told_by_life.values())
+        told = tuple(self._collected.counts_by_incarnation.values())
         try:
             await self._write(self._ledger._replace(told=told))
         except exceptions.AnvilwellError as error:
@@ -144,7 +144,7 @@
 
     def _true_now(self):
         now = self._clock()
-        self._true_time.hear(self._presence.vm_id, self._wall_time(), now)
+        self._true_time.record(self._presence.vm_id, self._wall_time(), now)
         self._true_time.forget(now - CLOCK_S)
         return now + self._true_time.offset_s
 
@@ -169,7 +169,7 @@
         """Record what is due, then send what is recorded."""
         if self._loaded_for is not tenure:
             await self._load(tenure)
-        self._gathered.forget(self._true_now() - 2 * self._late_s)
+        self._collected.forget(self._true_now() - 2 * self._late_s)
         tenure.check()
         for window in self._due():
             await self._record(window)
@@ -180,7 +180,7 @@
         entry = await self._store.get(LEDGER_KEY)
         self._take(entry)
         for told in self._ledger.told:
-            self._gathered.take(told)
+            self._collected.add(told)
         self._unsent = list(self._ledger.reports)
         self._loaded_for = tenure
 
@@ -199,20 +199,20 @@
         for window in range(first, math.floor(now / self._window_s)):
             if not self._is_due(window, now):
                 break
-            if self._gathered.is_known(window):
+            if self._collected.is_known(window):
                 due.append(window)
             else:
                 _LOG.routine("usage-not-known", window=window)
         return due
 
     def _is_due(self, window, now):
-        _, end = self._gathered.bounds(window)
+        _, end = self._collected.bounds(window)
         lives = self._news.incarnations_by_vm.values()
-        is_whole = self._gathered.is_whole(window, lives)
+        is_whole = self._collected.is_complete(window, lives)
         return now >= end + (SETTLE_S if is_whole else PATIENCE_S)
 
     async def _record(self, window):
-        report = self._gathered.report(window)
+        report = self._collected.report(window)
         kept = math.ceil(self._late_s / self._window_s) + 1
         await self._write(usage.add_report(self._ledger, report, kept))
         self._unsent.append(report)
@@ -221,7 +221,7 @@
             window=window,
             requests=sum(report.by_organisation.values()),
             organisations=len(report.by_organisation),
-            processes=len(self._gathered.told_by_life),
+            processes=len(self._collected.counts_by_incarnation),
         )
 
     async def _write(self, ledger):
@@ -250,7 +250,7 @@
         """Send what is recorded and not known to have been taken."""
         while self._unsent:
             report = self._unsent[0]
-            _, end = self._gathered.bounds(report.window)
+            _, end = self._collected.bounds(report.window)
             if self._true_now() > end + self._late_s:
                 _LOG.log("usage-too-late", window=report.window)
             else:
--- a/packages/gateway/anvilwell_gateway/duties/telling.py
+++ b/packages/gateway/anvilwell_gateway/duties/telling.py
@@ -30,14 +30,14 @@
 CLOSE_S = 0.6
 LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=4 << 10)
 
-_TOLD = pydantic.TypeAdapter(usage.Told)
+_TOLD = pydantic.TypeAdapter(usage.ProcessCounts)
 _TRUE_TIME = pydantic.TypeAdapter(float | None)
 
 _LOG = logs.get_logger(__name__)
 
 
 def read_told(body):
-    """Return the `usage.Told` in a request's body.
+    """Return the `usage.ProcessCounts` in a request's body.
 
     Raises
     ------
@@ -79,7 +79,7 @@
         self._clock = asyncio.get_running_loop().time
         self._started_at = self._clock()
         self._pool = client.Pool(self._clock, True)
-        self._tally = usage.Tally()
+        self._tally = usage.RequestCounter()
         self._offset_s = wall_time() - self._started_at
         self._told_at = float("-inf")
         self._told_to = None
@@ -137,7 +137,7 @@
         now = self._clock()
         self._number += 1
         self._tally.forget(now - self._keep_s)
-        told = usage.Told(
+        told = usage.ProcessCounts(
             self._presence.vm_id,
             self._presence.incarnation,
             self._number,
--- a/packages/gateway/anvilwell_gateway/neighbours.py
+++ b/packages/gateway/anvilwell_gateway/neighbours.py
@@ -3,7 +3,7 @@
 import asyncio
 import typing
 
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.duties import rendezvous
 from anvilwell_gateway import feeds
 from anvilwell_gateway.http import client
 from anvilwell_gateway import peer_calls
@@ -217,14 +217,16 @@
     def has_duty(self, failure_domain):
         """Return whether this VM is the one that a domain asks."""
         candidates = self._candidates(failure_domain)
-        return choice.chosen(_DUTY, candidates) == self._vm_id
+        return rendezvous.choose_vm(_DUTY, candidates) == self._vm_id
 
     def ranked(self):
         """Return all entries, those that tell this VM's domain first.
 
         The first one is asked for changes, the next ones would be.
         """
-        near = choice.ranked(_DUTY, self._candidates(self._failure_domain))
+        near = rendezvous.rank_vms(
+            _DUTY, self._candidates(self._failure_domain)
+        )
         return [*near, *sorted(set(self._entries_by_vm).difference(near))]
 
     def _reuse_or_create(self, vm_id, address):
@@ -254,7 +256,7 @@
     def find(self):
         """Return the `Neighbour` to ask, None to ask the store itself."""
         candidates = self._candidates(self._failure_domain)
-        chosen = choice.chosen(_DUTY, candidates)
+        chosen = rendezvous.choose_vm(_DUTY, candidates)
         skipped_until = self._skipped_until_by_vm.get(chosen, 0.0)
         if chosen in (None, self._vm_id) or self._clock() < skipped_until:
             return None
--- a/packages/gateway/anvilwell_gateway/notices.py
+++ b/packages/gateway/anvilwell_gateway/notices.py
@@ -13,7 +13,7 @@
 import pydantic
 import xxhash
 
-from anvilwell_decisions.duties import audience
+from anvilwell_decisions.duties import notice_recipients
 from anvilwell_decisions.traffic import facts
 from anvilwell_gateway.http import client
 from anvilwell_gateway.http import messages
@@ -145,7 +145,7 @@
             use_keepalive=True,
             default_keep_alive_s=server.FIRST_LIMITS.idle_timeout_s,
         )
-        self._recipients = audience.Audience()
+        self._recipients = notice_recipients.NoticeRecipients()
         self._addresses_by_vm = {}
         self._clock = asyncio.get_running_loop().time
         self.engine_digest = EngineDigest()
@@ -167,7 +167,7 @@
         delivery = self._recipients.begin()
         min_versions_by_model = {}
         await self._send_to_each(
-            delivery.first(),
+            delivery.first_recipients(),
             delivery,
             cbor2.dumps(notice),
             min_versions_by_model,
--- a/packages/gateway/anvilwell_gateway/standing_in.py
+++ b/packages/gateway/anvilwell_gateway/standing_in.py
@@ -149,13 +149,13 @@
         models = {one.model for one in replica.versions}.intersection(
             self._versions.wanted_by_model
         )
-        place = loading.place(
+        place = loading.load_position(
             replica.address,
             model,
             models,
             (one.address for one in self._directory.usable(replica.service)),
         )
-        return loading.wait_s(had, wanted, lag, place)
+        return loading.load_delay_s(had, wanted, lag, place)
 
 
 def _version(replica, model):
--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -16,7 +16,7 @@
 
 import pydantic
 
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.duties import rendezvous
 from anvilwell_decisions.requests import trials
 from anvilwell_gateway.http import client
 from anvilwell_gateway import peer_calls
@@ -118,7 +118,7 @@
 
     def _deciders(self, fingerprint):
         """Return the ids of the deciders, this VM if no entry is known."""
-        vm_ids = choice.ranked(
+        vm_ids = rendezvous.rank_vms(
             f"try {fingerprint}", self._news.addresses_by_vm
         )
         return vm_ids[:DECIDERS] or [self._vm_id]
--- a/packages/gateway/anvilwell_gateway_standins/notice_strategies.py
+++ b/packages/gateway/anvilwell_gateway_standins/notice_strategies.py
@@ -12,7 +12,7 @@
 
 import cbor2
 
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.duties import rendezvous
 from anvilwell_gateway.http import messages
 from anvilwell_gateway import notices
 from anvilwell_kernel import exceptions
@@ -47,7 +47,7 @@
         self.domains = {
             vm: DOMAINS[n % len(DOMAINS)] for n, vm in enumerate(self.vms)
         }
-        self.home = choice.chosen("run", self.vms)
+        self.home = rendezvous.choose_vm("run", self.vms)
         self.silent_at = {}
         self.dead = set()
         self.resumed = asyncio.Event()
@@ -63,7 +63,10 @@
             if now - self.silent_at.get(vm, now) <= LAPSE_S
         ]
         near = [vm for vm in there if self.domains[vm] == domain]
-        return [*choice.ranked("watch", near), *sorted(set(there) - {*near})]
+        return [
+            *rendezvous.rank_vms("watch", near),
+            *sorted(set(there) - {*near}),
+        ]
 
     def record_receipt(self, vm, *made_at):
         """Have an entry learn notices."""
--- a/packages/gateway/tests/batches/test_slot_sharing.py
+++ b/packages/gateway/tests/batches/test_slot_sharing.py
@@ -55,7 +55,7 @@
             vm_id, news, types.SimpleNamespace(all=lambda service: homes)
         )
         self.pool = self.slot_sharing._pool = _Pool(peers_by_vm)
-        self.dispatch = dispatches.Dispatch()
+        self.dispatch = dispatches.Dispatcher()
         self.dispatch.set_replicas(REPLICAS)
         self.waiting = 0
         self.slot_sharing.use_of = lambda service: slot_sharing.SlotUsage(
@@ -71,9 +71,9 @@
     def fill(self):
         """Use every place that may be used; return how many were free."""
         workers = self.dispatch.workers("lm")
-        free = sum(max(0, worker.room) for worker in workers)
+        free = sum(max(0, worker.free_slots) for worker in workers)
         for worker in workers:
-            worker.running += max(0, worker.room)
+            worker.running += max(0, worker.free_slots)
         return free
 
 
--- a/packages/gateway/tests/duties/duty_world.py
+++ b/packages/gateway/tests/duties/duty_world.py
@@ -270,7 +270,7 @@
             wall_time,
         )
         self.started_at = asyncio.get_running_loop().time()
-        self.tally = usage.Tally()
+        self.tally = usage.RequestCounter()
         self.told_times = 0
         self._tasks = []
 
@@ -318,7 +318,7 @@
     def told(self):
         self.told_times += 1
         now = wall_time()
-        return usage.Told(
+        return usage.ProcessCounts(
             self.vm_id,
             self.presence.incarnation,
             self.told_times,
--- a/packages/gateway/tests/duties/test_duty.py
+++ b/packages/gateway/tests/duties/test_duty.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.duties import rendezvous
 from anvilwell_gateway.duties import holding
 from anvilwell_gateway.duties import reporting
 from anvilwell_kernel import exceptions
@@ -262,7 +262,7 @@
         del world.vms_by_id[holder.vm_id]
         first, last = world.vms_by_id.values()
         # The first in turn can't write, so the duty lies vacant for longer.
-        ranked = choice.ranked("usage", {first.vm_id, last.vm_id})
+        ranked = rendezvous.rank_vms("usage", {first.vm_id, last.vm_id})
         if ranked[0] != first.vm_id:
             first, last = last, first
         await first.duty.stop()
--- a/packages/gateway/tests/test_trials.py
+++ b/packages/gateway/tests/test_trials.py
@@ -6,7 +6,7 @@
 import cbor2
 import pytest
 
-from anvilwell_decisions.duties import choice
+from anvilwell_decisions.duties import rendezvous
 from anvilwell_decisions.requests import quarantine as quarantines
 from anvilwell_decisions.requests import trials as decisions
 from anvilwell_gateway.http import client
@@ -15,7 +15,7 @@
 
 ADDRESSES_BY_VM = {f"entry-{number}": f"a:{number}" for number in range(4)}
 PAUSE_S = quarantines.SHORT_PAUSE_S
-DECIDER = choice.chosen("try f", list(ADDRESSES_BY_VM))
+DECIDER = rendezvous.choose_vm("try f", list(ADDRESSES_BY_VM))
 OTHERS = sorted(set(ADDRESSES_BY_VM) - {DECIDER})
 
 
