--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -60,7 +60,7 @@
         self._backend = settings.agent.backend
         self._engine = platform.engine_at(settings.agent.backend)
         self._store = platform.store
-        self._paths = platform.paths
+        self._store_path = platform.store_path
         self._versions = versions.Versions(platform.store, platform.codec)
         self._peers = news.Peers(platform.store, self._entries_changed)
         self._mover = moving.Mover(
@@ -126,7 +126,7 @@
         """Release everything."""
         await self.drain()
         await self._metrics.stop()
-        await self._paths.close()
+        await self._store_path.close()
         self._engine.close()
         self._neighbours.close()
         self._notice_sender.close()
@@ -137,7 +137,7 @@
             measures.GaugeValue("versions_wanted", version, model)
             for model, version in self._versions.wanted_by_model.items()
         ]
-        return [*self._paths.gauge_values(), *wanted]
+        return [*self._store_path.gauge_values(), *wanted]
 
     async def _ping(self):
         """Have the store notice when it is lost and back.
@@ -165,7 +165,7 @@
 
     def _entries_changed(self, live):
         """Take in which entries are there: for notices, news and help."""
-        self._paths.set_peers(live.addresses_by_vm)
+        self._store_path.set_peers(live.addresses_by_vm)
         self._neighbours.set_entries(live.candidates_by_vm)
         self._notice_sender.set_entries(
             live.addresses_by_vm, self._neighbours.ranked()
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -8,9 +8,9 @@
 from anvilwell_gateway import measures
 from anvilwell_gateway import neighbours
 from anvilwell_gateway import news
-from anvilwell_gateway import paths
 from anvilwell_gateway import presence as presences
 from anvilwell_gateway import retirement
+from anvilwell_gateway import store_paths
 from anvilwell_gateway import versions
 
 
@@ -41,7 +41,7 @@
             daemon.link_mbps,
         )
         self.store.listen_regained(self.presence.renew_soon)
-        self.paths = platform.paths
+        self.store_path = platform.store_path
         self.neighbours = neighbours.Neighbours(
             daemon.vm_id,
             daemon.failure_domain,
@@ -49,7 +49,7 @@
         )
         self.feeds = feeds.Feeds(self.presence.can_confirm_ownership)
         self.news = news.News(
-            self.store, self.presence, self.paths, self.neighbours
+            self.store, self.presence, self.store_path, self.neighbours
         )
         self.versions = versions.Versions(self.store, platform.codec)
         self.retirement = retirement.Retirement(
@@ -69,7 +69,8 @@
         fleet = cls(settings, platform)
         peer_server.handle(feeds.TARGET, fleet.feeds.answer)
         peer_server.handle(
-            paths.RELAY_TARGET, paths.Relay(fleet.paths.direct).answer
+            store_paths.RELAY_TARGET,
+            store_paths.CallRelay(fleet.store_path.direct).answer,
         )
         return fleet
 
@@ -109,7 +110,7 @@
 
     async def close(self):
         """Close the connections to the store and to peers."""
-        await self.paths.close()
+        await self.store_path.close()
         self.neighbours.close()
 
     def gauge_values(self):
@@ -117,7 +118,7 @@
         return [
             *self.configuration.gauge_values(),
             *self.presence.gauge_values(),
-            *self.paths.gauge_values(),
+            *self.store_path.gauge_values(),
             *self.directory.gauge_values(),
             measures.GaugeValue("peers", len(self.news.incarnations_by_vm)),
         ]
--- a/packages/gateway/anvilwell_gateway/news.py
+++ b/packages/gateway/anvilwell_gateway/news.py
@@ -23,16 +23,16 @@
         Where the news lie.
     presence : presence.Presence
         This process.
-    ways : paths.Paths
+    store_path : store_paths.FailoverPath
         Told of the peers that may help.
     nearby : neighbours.Neighbours
         Told of the entries, too.
     """
 
-    def __init__(self, store, presence, ways, nearby):
+    def __init__(self, store, presence, store_path, nearby):
         super().__init__(store, PREFIX)
         self._presence = presence
-        self._paths = ways
+        self._store_path = store_path
         self._nearby = nearby
         self._listeners = []
         self._entry_listeners = []
@@ -151,7 +151,7 @@
     def _tell_of_entries(self):
         addresses_by_vm = self.addresses_by_vm
         addresses_by_vm.pop(self._presence.vm_id, None)
-        self._paths.set_peers(addresses_by_vm)
+        self._store_path.set_peers(addresses_by_vm)
         self._nearby.set_entries(self._live.candidates_by_vm)
         for callback in self._entry_listeners:
             callback()
--- a/packages/gateway/anvilwell_gateway/peer_server.py
+++ b/packages/gateway/anvilwell_gateway/peer_server.py
@@ -2,7 +2,7 @@
 
 from anvilwell_gateway import aborting
 from anvilwell_gateway.http import server as servers
-from anvilwell_gateway import paths
+from anvilwell_gateway import store_paths
 from anvilwell_kernel.config import options
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
@@ -26,7 +26,7 @@
         self._handlers_by_target = {}
         self._server = servers.Server(listen, self._answer, None, budget)
         self._server.limits = servers.FIRST_LIMITS._replace(
-            max_body_bytes=paths.MAX_ANSWER_BYTES
+            max_body_bytes=store_paths.MAX_ANSWER_BYTES
         )
         self._aborter = aborting.RequestAborter(self._server)
 
--- a/packages/gateway/anvilwell_gateway/platforms.py
+++ b/packages/gateway/anvilwell_gateway/platforms.py
@@ -5,9 +5,9 @@
 from anvilwell_gateway import dialect as dialects
 from anvilwell_gateway.duties import port
 from anvilwell_gateway import engine as engines
-from anvilwell_gateway import paths as ways
 from anvilwell_gateway import store as stores
 from anvilwell_gateway import store_codec
+from anvilwell_gateway import store_paths
 
 
 class Platform(typing.NamedTuple):
@@ -18,7 +18,7 @@
     """
 
     store: stores.AsyncStore
-    paths: ways.Paths
+    store_path: store_paths.FailoverPath
     codec: store_codec.StoreCodec
     dialect: dialects.Dialect
     engine_at: typing.Callable[..., engines.Engine]
--- a/packages/gateway/anvilwell_gateway/paths.py
+++ b/packages/gateway/anvilwell_gateway/store_paths.py
@@ -27,20 +27,20 @@
 MAX_ANSWER_BYTES = 32 << 20
 # Between looks whether the direct path works again, in seconds: a detour
 # costs a peer's processor time, a look a tenth of a call.
-PROBE_S = 1.0
+PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.5
 # A peer waits as long as the direct path would; this is for the way there.
 PEER_MARGIN_S = 0.2
 RELAY_TARGET = "/key-value"
 _POOL_KEY = "key-value"
 # The service refuses this VM, or all.
-_BUSY = 503
-_UNKNOWN = 504
+_NOT_RUN_STATUS = 503
+_UNKNOWN_STATUS = 504
 
 _LOG = logs.get_logger(__name__)
 
 
-class Call(typing.NamedTuple):
+class StoreCall(typing.NamedTuple):
     """One call to the service, as the platform's adapter spells it.
 
     ``kind`` is the product's own name for what the call does.
@@ -54,14 +54,14 @@
     timeout_s: float = 1.0
 
 
-class Answer(typing.NamedTuple):
+class StoreResponse(typing.NamedTuple):
     """The service's answer to a `Call`."""
 
     status: int
     body: bytes
 
 
-class Path(abc.ABC):
+class StorePath(abc.ABC):
     """A way to the service."""
 
     @abc.abstractmethod
@@ -75,7 +75,7 @@
         """
 
 
-class DirectPath(Path):
+class DirectPath(StorePath):
     """Calls the service itself.
 
     Parameters
@@ -105,10 +105,10 @@
         reply, body = await _ask(
             self._pool, _POOL_KEY, self._address, question, call.timeout_s
         )
-        return Answer(reply.status, body)
+        return StoreResponse(reply.status, body)
 
 
-class PeerPath(Path):
+class PeerPath(StorePath):
     """Has a peer make the call.
 
     Parameters
@@ -137,9 +137,9 @@
             call.timeout_s + PEER_MARGIN_S,
         )
         if reply.status == 200:
-            return Answer(*cbor2.loads(body))
+            return StoreResponse(*cbor2.loads(body))
         verdict = verdicts.Verdict.MAY_HAVE_RUN
-        if reply.status == _BUSY:
+        if reply.status == _NOT_RUN_STATUS:
             verdict = verdicts.Verdict.NOT_RUN
         raise exceptions.KeyValueUnavailable(
             f"{self._vm_id} does not reach the service: {reply.status}",
@@ -159,7 +159,7 @@
         ) from error
 
 
-class Paths(Path):
+class FailoverPath(StorePath):
     """Takes the direct path, or one through a peer while that fails.
 
     A call that failed is not made again here: only who made it knows
@@ -176,12 +176,12 @@
     def __init__(self, direct, probe, rng=None):
         self.direct = direct
         self._probe_call = probe
-        self._choice = choices.PathChoice(rng or random.Random())
+        self._selector = choices.PathChoice(rng or random.Random())
         clock = asyncio.get_running_loop().time
         self._pool = client.Pool(clock, use_keepalive=True)
         self._paths_by_name = {choices.DIRECT: direct}
         self._listeners = []
-        self._probing = None
+        self._probe_task = None
 
     def listen(self, callback):
         """Call ``callback(is_answered)`` when another path is taken.
@@ -197,13 +197,13 @@
             vm_id: PeerPath(vm_id, address, self._pool)
             for vm_id, address in addresses_by_vm.items()
         }
-        if self._choice.set_peers(addresses_by_vm):
+        if self._selector.set_peers(addresses_by_vm):
             self._changed("the peer is gone")
 
     async def send(self, call):
         """Return the `Answer` to a `Call`."""
         loop = asyncio.get_running_loop()
-        name = self._choice.current
+        name = self._selector.current
         began_at = loop.time()
         status = "none"
         try:
@@ -220,7 +220,7 @@
                 path="peer" if name else "direct",
                 status=status,
             )
-        if answer.status == _BUSY:
+        if answer.status == _NOT_RUN_STATUS:
             cause = "the service turns this VM away"
             self._failed(name, began_at, cause)
         else:
@@ -229,28 +229,28 @@
 
     def gauge_values(self):
         """Return whether a peer makes the calls."""
-        is_detour = self._choice.current != choices.DIRECT
-        return [measures.GaugeValue("store_through_peer", is_detour)]
+        is_through_peer = self._selector.current != choices.DIRECT
+        return [measures.GaugeValue("store_through_peer", is_through_peer)]
 
     async def close(self):
         """Probe no more and close the connections to peers."""
-        await tasks.stop(self._probing)
+        await tasks.stop(self._probe_task)
         self._pool.close()
 
     def _failed(self, name, began_at, cause):
         now = asyncio.get_running_loop().time()
-        if self._choice.failed(name, began_at, now):
+        if self._selector.failed(name, began_at, now):
             self._changed(cause)
 
     def _answered(self, name):
-        if self._choice.answered(name):
+        if self._selector.answered(name):
             self._changed("the direct path works again", True)
 
     def _changed(self, cause, is_answered=False):
-        path = self._choice.current
+        path = self._selector.current
         _LOG.log("path-changed", path=path or "direct", cause=cause)
-        if path and (self._probing is None or self._probing.done()):
-            self._probing = asyncio.create_task(self._probe())
+        if path and (self._probe_task is None or self._probe_task.done()):
+            self._probe_task = asyncio.create_task(self._probe())
         for callback in self._listeners:
             callback(is_answered)
 
@@ -258,18 +258,18 @@
         """Look for the direct path until it works again."""
         call = self._probe_call._replace(timeout_s=PROBE_TIMEOUT_S)
         for tries in itertools.count(1):
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             try:
                 answer = await self.direct.send(call)
             except exceptions.KeyValueUnavailable as error:
                 _LOG.routine("path-probed", tries=tries, cause=error.message)
                 continue
-            if answer.status != _BUSY:
+            if answer.status != _NOT_RUN_STATUS:
                 self._answered(choices.DIRECT)
                 return
 
 
-class Relay:
+class CallRelay:
     """Makes calls for peers that don't reach the service themselves.
 
     Only by the direct path: a call never takes a second hop.
@@ -285,12 +285,14 @@
 
     async def answer(self, request, responder):
         """Answer a peer's request."""
-        call = Call(*cbor2.loads(request.body))
+        call = StoreCall(*cbor2.loads(request.body))
         _LOG.routine("call-relayed", target=call.target.partition("?")[0])
         try:
             answer = await self._direct.send(call)
         except exceptions.KeyValueUnavailable as error:
             not_run = error.verdict is verdicts.Verdict.NOT_RUN
-            await responder.send(_BUSY if not_run else _UNKNOWN)
+            await responder.send(
+                _NOT_RUN_STATUS if not_run else _UNKNOWN_STATUS
+            )
             return
         await responder.send(200, (), cbor2.dumps(answer))
