--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -9,12 +9,12 @@
 from anvilwell_decisions.batches import loading
 from anvilwell_decisions.traffic import facts
 from anvilwell_gateway import claims
+from anvilwell_gateway import cluster_state
 from anvilwell_gateway import engine_listing
 from anvilwell_gateway import measures
 from anvilwell_gateway import metrics_page
 from anvilwell_gateway import moving
 from anvilwell_gateway import neighbours
-from anvilwell_gateway import news
 from anvilwell_gateway import notices
 from anvilwell_gateway import tasks
 from anvilwell_gateway import versions
@@ -62,7 +62,9 @@
         self._store = platform.store
         self._store_path = platform.store_path
         self._versions = versions.Versions(platform.store, platform.codec)
-        self._peers = news.Peers(platform.store, self._entries_changed)
+        self._peers = cluster_state.EntryFollower(
+            platform.store, self._entries_changed
+        )
         self._mover = moving.Mover(
             self._engine,
             self._backend,
--- a/packages/gateway/anvilwell_gateway/batches/homes.py
+++ b/packages/gateway/anvilwell_gateway/batches/homes.py
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         The entries that live, and what they can process.
     directory : directory.Directory
         The replicas.
@@ -30,8 +30,8 @@
         The batches that there are.
     """
 
-    def __init__(self, news, directory, owners):
-        self._news = news
+    def __init__(self, cluster_state, directory, owners):
+        self._cluster_state = cluster_state
         self._owners = owners
         self._directory = directory
 
@@ -55,7 +55,7 @@
 
     def _able(self):
         """Return the VMs that run batches, as live_by_vm."""
-        live_by_vm = self._news.live_by_vm
+        live_by_vm = self._cluster_state.live_by_vm
         best = max((one.capacity for one in live_by_vm.values()), default=0.0)
         return {
             vm_id: live
--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -50,7 +50,7 @@
         What runs those that are ours.
     presence : presence.Presence
         This process.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         The other processes.
     owners : owners.Owners
         Who owns which batch.
@@ -67,7 +67,7 @@
         batch_store,
         manager,
         presence,
-        news,
+        cluster_state,
         owners,
         dialect,
         submission_forwarder,
@@ -77,7 +77,7 @@
         self._owners = owners
         self._manager = manager
         self._presence = presence
-        self._news = news
+        self._cluster_state = cluster_state
         self._dialect = dialect
         self._submission_forwarder = submission_forwarder
         self._homes = homes
@@ -89,7 +89,7 @@
         self._opening = {}
         self._may_take = False
         self.is_draining = False
-        news.listen(self._heard)
+        cluster_state.listen(self._heard)
         owners.listen(self._look_at)
         manager.on_lost = self.review
 
@@ -241,7 +241,7 @@
         results, batch.chunks, saved = adopted
         batch.book.restore(results, saved)
         self._manager.open(batch)
-        if batch_id in self._news.ended:
+        if batch_id in self._cluster_state.ended:
             self._manager.end(batch_id)
         return True
 
@@ -253,7 +253,7 @@
 
     def is_ended(self, batch_id):
         """Return whether the store is known to say that a batch ended."""
-        return batch_id in self._news.ended
+        return batch_id in self._cluster_state.ended
 
     def begin(self):
         """Take over from now on: routes, owners and lives are known."""
@@ -296,7 +296,7 @@
             claim is not None
             and not self.is_draining
             and self._is_orphan(
-                batch_id, claim.owner, self._news.incarnations_by_vm
+                batch_id, claim.owner, self._cluster_state.incarnations_by_vm
             )
         )
 
@@ -304,7 +304,9 @@
         """Take a batch once it is our turn, unless its owner lives."""
         try:
             owner = self._owners.claims_by_id[batch_id].owner
-            rank = self._rank(batch_id, owner, self._news.incarnations_by_vm)
+            rank = self._rank(
+                batch_id, owner, self._cluster_state.incarnations_by_vm
+            )
             await asyncio.sleep(self._grace_s(owner) + RANK_DELAY_S * rank)
             while self._may_be_orphan(batch_id):
                 try:
@@ -327,11 +329,14 @@
         """
         if owner.vm_id == self._presence.vm_id:
             return 0.0
-        is_replaced = owner.vm_id in self._news.incarnations_by_vm
+        is_replaced = owner.vm_id in self._cluster_state.incarnations_by_vm
         return 0.0 if is_replaced else self._presence.takeover_grace_s()
 
     def _is_orphan(self, batch_id, owner, incarnations_by_vm):
-        if batch_id in self._news.ended or batch_id in self._accepting:
+        if (
+            batch_id in self._cluster_state.ended
+            or batch_id in self._accepting
+        ):
             return False
         if owner.vm_id == self._presence.vm_id:
             # Also if it is this life's: a write that was given up may
@@ -361,7 +366,7 @@
         # In this order: whoever owned the batch at the first read and is
         # not there at the second is gone.
         claim = await self._store.owner(batch_id)
-        incarnations_by_vm = await self._news.read_lives()
+        incarnations_by_vm = await self._cluster_state.read_incarnations()
         if claim is None:
             return True
         if not self._is_orphan(batch_id, claim.owner, incarnations_by_vm):
--- a/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
+++ b/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
@@ -14,7 +14,7 @@
 
     Parameters
     ----------
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         The entries that live.
     owners : owners.Owners
         Who runs which batch.
@@ -24,8 +24,8 @@
         Where they are.
     """
 
-    def __init__(self, news, owners, configuration, homes):
-        self._news = news
+    def __init__(self, cluster_state, owners, configuration, homes):
+        self._cluster_state = cluster_state
         self._owners = owners
         self._configuration = configuration
         self._homes = homes
@@ -45,7 +45,7 @@
 
     def _look(self):
         """Return the VMs that need notices, as vms_by_service."""
-        incarnations_by_vm = self._news.incarnations_by_vm
+        incarnations_by_vm = self._cluster_state.incarnations_by_vm
         current = self._configuration.current
         routes = current.routes if current else ()
         gathered = {
--- a/packages/gateway/anvilwell_gateway/batches/owner_client.py
+++ b/packages/gateway/anvilwell_gateway/batches/owner_client.py
@@ -86,7 +86,7 @@
     ----------
     owners : owners.Owners
         Who owns which batch.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         Which of them live, and where.
     vm_id : str
         This VM; it is not asked what it does not run itself.
@@ -94,11 +94,11 @@
         Where it is.
     """
 
-    def __init__(self, owners, news, vm_id, failure_domain):
+    def __init__(self, owners, cluster_state, vm_id, failure_domain):
         self._owners = owners
         self._vm_id = vm_id
         self._failure_domain = failure_domain
-        self._news = news
+        self._cluster_state = cluster_state
         self._pool = client.Pool(asyncio.get_running_loop().time, True)
 
     async def ask(self, results_request):
@@ -106,7 +106,9 @@
         vm_id = self._owner(results_request.batch_id)
         if vm_id is None:
             return None
-        is_near = self._news.domains_by_vm[vm_id] == self._failure_domain
+        is_near = (
+            self._cluster_state.domains_by_vm[vm_id] == self._failure_domain
+        )
         results_request = results_request._replace(with_results=is_near)
         try:
             body = await self._send(
@@ -149,7 +151,7 @@
         return await peer_calls.call(
             self._pool,
             vm_id,
-            self._news.addresses_by_vm[vm_id],
+            self._cluster_state.addresses_by_vm[vm_id],
             target,
             content,
             peer_calls.CallLimits(timeout_s, MAX_ANSWER_BYTES),
@@ -162,7 +164,9 @@
             return None
         vm_id, life = claim.owner.vm_id, claim.owner.incarnation
         return (
-            vm_id if self._news.incarnations_by_vm.get(vm_id) == life else None
+            vm_id
+            if self._cluster_state.incarnations_by_vm.get(vm_id) == life
+            else None
         )
 
     def close(self):
--- a/packages/gateway/anvilwell_gateway/batches/records.py
+++ b/packages/gateway/anvilwell_gateway/batches/records.py
@@ -10,7 +10,7 @@
 from anvilwell_decisions.batches import progress
 from anvilwell_decisions.traffic import facts
 from anvilwell_decisions.traffic import organisations
-from anvilwell_gateway import news
+from anvilwell_gateway import cluster_state
 from anvilwell_gateway import store as stores
 from anvilwell_kernel import exceptions
 from anvilwell_outside.ports import keyvalue
@@ -238,7 +238,7 @@
 
     async def end(self, batch_id, timeout_s):
         """Note for all processes that the trainer ended the batch."""
-        key = f"{news.ENDED_PREFIX}{batch_id}"
+        key = f"{cluster_state.ENDED_PREFIX}{batch_id}"
         swap = keyvalue.Swap(key, 0, b"1")
         # If it is there already, that is just as good.
         await stores.swap_until_known(self._store, [swap], timeout_s)
@@ -250,7 +250,7 @@
             f"{SAVED_PREFIX}{batch_id}",
             *(_part_key(batch_id, number) for number in range(parts)),
             *(_chunk_key(batch_id, number) for number in range(chunks)),
-            f"{news.ENDED_PREFIX}{batch_id}",
+            f"{cluster_state.ENDED_PREFIX}{batch_id}",
         ]
         for start in range(0, len(keys), MAX_PARTS):
             some = keys[start : start + MAX_PARTS]
--- a/packages/gateway/anvilwell_gateway/batches/retention.py
+++ b/packages/gateway/anvilwell_gateway/batches/retention.py
@@ -32,17 +32,17 @@
         The batches of this process.
     owners : owners.Owners
         Who owns which batch.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         Which owners live, and which batches have ended.
     vm_id : str
         This VM.
     """
 
-    def __init__(self, batch_store, manager, owners, news, vm_id):
+    def __init__(self, batch_store, manager, owners, cluster_state, vm_id):
         self._store = batch_store
         self._manager = manager
         self.owners = owners
-        self._news = news
+        self._cluster_state = cluster_state
         self._vm_id = vm_id
         # When each was seen first. Clocks of the day differ between VMs.
         self._orphaned_at_by_batch = {}
@@ -97,17 +97,17 @@
         """Return whether this entry deletes what is left of a batch."""
         duty = f"delete {batch_id}"
         return (
-            rendezvous.choose_vm(duty, self._news.incarnations_by_vm)
+            rendezvous.choose_vm(duty, self._cluster_state.incarnations_by_vm)
             == self._vm_id
         )
 
     def _orphaned(self):
         """Return the ended batches whose owners are gone."""
-        incarnations_by_vm = self._news.incarnations_by_vm
+        incarnations_by_vm = self._cluster_state.incarnations_by_vm
         return [
             batch_id
             for batch_id, claim in self.owners.claims_by_id.items()
-            if batch_id in self._news.ended
+            if batch_id in self._cluster_state.ended
             and batch_id not in self._manager.batches_by_id
             and incarnations_by_vm.get(claim.owner.vm_id)
             != claim.owner.incarnation
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -43,9 +43,11 @@
         batch_store = records.BatchStore(fleet.store)
         self._owners = owners.Owners(fleet.store)
         fleet.follow(self._owners)
-        homes = all_homes.Homes(fleet.news, fleet.directory, self._owners)
+        homes = all_homes.Homes(
+            fleet.cluster_state, fleet.directory, self._owners
+        )
         self.slot_sharing = slot_sharing.SlotSharing(
-            fleet.vm_id, fleet.news, homes
+            fleet.vm_id, fleet.cluster_state, homes
         )
         self.manager = managers.BatchManager(
             batch_store,
@@ -62,27 +64,34 @@
             fleet.directory,
             self.manager.min_versions_by_model,
             notice_subscribers.NoticeSubscribers(
-                fleet.news, self._owners, fleet.configuration, homes
+                fleet.cluster_state, self._owners, fleet.configuration, homes
             ),
         )
         self._submission_forwarder = submission_forwarding.SubmissionForwarder(
-            fleet.vm_id, fleet.news, homes
+            fleet.vm_id, fleet.cluster_state, homes
         )
         self._intake = intakes.Intake(
             batch_store,
             self.manager,
             fleet.presence,
-            fleet.news,
+            fleet.cluster_state,
             self._owners,
             platform.dialect,
             self._submission_forwarder,
             homes,
         )
         self.owner_client = owner_client.OwnerClient(
-            self._owners, fleet.news, fleet.vm_id, fleet.failure_domain
+            self._owners,
+            fleet.cluster_state,
+            fleet.vm_id,
+            fleet.failure_domain,
         )
         self.retention = retention.Retention(
-            batch_store, self.manager, self._owners, fleet.news, fleet.vm_id
+            batch_store,
+            self.manager,
+            self._owners,
+            fleet.cluster_state,
+            fleet.vm_id,
         )
         self.request_handler = request_handlers.BatchRequestHandler(
             batch_store,
@@ -121,7 +130,7 @@
     async def _begin(self):
         """Take back what an earlier life of this VM owned."""
         while not (
-            self._fleet.news.is_loaded
+            self._fleet.cluster_state.is_loaded
             and self._owners.is_loaded
             and self._fleet.configuration.current
         ):
--- a/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
@@ -43,15 +43,15 @@
     ----------
     vm_id : str
         This VM.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         Where the other entries are.
     homes : homes.Homes
         Which of them are homes of a service.
     """
 
-    def __init__(self, vm_id, news, homes):
+    def __init__(self, vm_id, cluster_state, homes):
         self._vm_id = vm_id
-        self._news = news
+        self._cluster_state = cluster_state
         self._homes = homes
         self._places_by_service = {}
         self._asked_at_by_key = {}
@@ -121,7 +121,7 @@
     async def _ask(self, lender, ask, known, now):
         known.record_request(lender, ask.using_by_replica, now)
         self.on_change()
-        address = self._news.addresses_by_vm.get(lender)
+        address = self._cluster_state.addresses_by_vm.get(lender)
         if address is None:
             return
         try:
--- a/packages/gateway/anvilwell_gateway/batches/submission_forwarding.py
+++ b/packages/gateway/anvilwell_gateway/batches/submission_forwarding.py
@@ -73,15 +73,15 @@
     ----------
     vm_id : str
         This VM.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         The entries that live, and where.
     homes : all_homes.Homes
         Which of them run what.
     """
 
-    def __init__(self, vm_id, news, homes):
+    def __init__(self, vm_id, cluster_state, homes):
         self._vm_id = vm_id
-        self._news = news
+        self._cluster_state = cluster_state
         self._homes = homes
         self._pool = client.Pool(asyncio.get_running_loop().time, True)
 
@@ -96,7 +96,7 @@
         home = self._homes.find(all_homes.service_of(route), model)
         if home in (None, self._vm_id):
             return ForwardOutcome.NOT
-        address = self._news.addresses_by_vm[home]
+        address = self._cluster_state.addresses_by_vm[home]
         submission = ForwardedSubmission(
             request.target,
             request.headers,
--- a/packages/gateway/anvilwell_gateway/news.py
+++ b/packages/gateway/anvilwell_gateway/cluster_state.py
@@ -9,12 +9,12 @@
 PREFIX = live_keys.NEWS_PREFIX
 ENDED_PREFIX = f"{PREFIX}ended/"
 # Entries that start with an agent register within so long, in seconds.
-REGISTER_S = 0.2
+REGISTRATION_WAIT_S = 0.2
 
 _LOG = logs.get_logger(__name__)
 
 
-class News(prefix_follower.PrefixFollower):
+class ClusterState(prefix_follower.PrefixFollower):
     """Knows which lives are there and which batches have ended.
 
     Parameters
@@ -25,18 +25,18 @@
         This process.
     store_path : store_paths.FailoverPath
         Told of the peers that may help.
-    nearby : neighbours.Neighbours
+    neighbours : neighbours.Neighbours
         Told of the entries, too.
     """
 
-    def __init__(self, store, presence, store_path, nearby):
+    def __init__(self, store, presence, store_path, neighbours):
         super().__init__(store, PREFIX)
         self._presence = presence
         self._store_path = store_path
-        self._nearby = nearby
+        self._neighbours = neighbours
         self._listeners = []
         self._entry_listeners = []
-        self._takers_by_prefix = {}
+        self._delegates_by_prefix = {}
         self._live = live_keys.LiveKeys()
         self.ended = set()
 
@@ -71,14 +71,14 @@
         """Call ``callback()`` when other entries may be there than before."""
         self._entry_listeners.append(callback)
 
-    def pass_on(self, prefix, taker):
+    def delegate_prefix(self, prefix, delegate):
         """Have `taker` load and change what lies under a longer prefix.
 
         So it shares the watch and the first read of the news.
         """
-        self._takers_by_prefix[prefix] = taker
+        self._delegates_by_prefix[prefix] = delegate
 
-    async def read_lives(self):
+    async def read_incarnations(self):
         """Return incarnations_by_vm as the store has them now.
 
         What this follower knows may be older than what else was read.
@@ -103,17 +103,17 @@
             if self.incarnations_by_vm.get(vm_id) != life
         }
         fresh = ended - self.ended
-        self._tell_of_entries()
+        self._notify_entry_change()
         self.ended |= ended
-        for prefix, taker in self._takers_by_prefix.items():
-            taker.load(
+        for prefix, delegate in self._delegates_by_prefix.items():
+            delegate.load(
                 {
                     key: entry
                     for key, entry in entries_by_key.items()
                     if key.startswith(prefix)
                 }
             )
-        self._tell(lost, fresh)
+        self._notify(lost, fresh)
 
     def change(self, change):
         """Take one piece of news."""
@@ -123,24 +123,24 @@
                 self.ended.discard(batch_id)
             else:
                 self.ended.add(batch_id)
-                self._tell(set(), {batch_id})
+                self._notify(set(), {batch_id})
         elif change.key.startswith(live_keys.PREFIX):
             self._change_live(change)
-        for prefix, taker in self._takers_by_prefix.items():
+        for prefix, delegate in self._delegates_by_prefix.items():
             if change.key.startswith(prefix):
-                taker.change(change)
+                delegate.change(change)
 
     def _change_live(self, change):
         lives_before = self.incarnations_by_vm
         vm_id = self._live.change(change)
         before = lives_before.get(vm_id)
         now = self.incarnations_by_vm.get(vm_id)
-        self._tell_of_entries()
+        self._notify_entry_change()
         _LOG.log("peer", peer=vm_id, is_live=now is not None)
         if before and before != now:
-            self._tell({vm_id}, set())
+            self._notify({vm_id}, set())
 
-    def _tell(self, lost, ended):
+    def _notify(self, lost, ended):
         if self._presence.vm_id in lost:
             mine = self.incarnations_by_vm.get(self._presence.vm_id)
             if mine != self._presence.incarnation:
@@ -148,16 +148,16 @@
         for callback in self._listeners:
             callback(lost, ended)
 
-    def _tell_of_entries(self):
+    def _notify_entry_change(self):
         addresses_by_vm = self.addresses_by_vm
         addresses_by_vm.pop(self._presence.vm_id, None)
         self._store_path.set_peers(addresses_by_vm)
-        self._nearby.set_entries(self._live.candidates_by_vm)
+        self._neighbours.set_entries(self._live.candidates_by_vm)
         for callback in self._entry_listeners:
             callback()
 
 
-class Peers(prefix_follower.PrefixFollower):
+class EntryFollower(prefix_follower.PrefixFollower):
     """Tells an agent which entries are there.
 
     Parameters
@@ -184,7 +184,7 @@
         if self._live.by_vm or self._has_waited:
             return revision
         self._has_waited = True
-        await asyncio.sleep(REGISTER_S)
+        await asyncio.sleep(REGISTRATION_WAIT_S)
         return await super()._load(neighbour)
 
     def load(self, entries_by_key):
--- a/packages/gateway/anvilwell_gateway/crash_notifier.py
+++ b/packages/gateway/anvilwell_gateway/crash_notifier.py
@@ -80,13 +80,13 @@
     ----------
     vm_id : str
         The id of this VM, which is not notified.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         The entries that live, and where.
     """
 
-    def __init__(self, vm_id, news):
+    def __init__(self, vm_id, cluster_state):
         self._vm_id = vm_id
-        self._news = news
+        self._cluster_state = cluster_state
         self._clock = asyncio.get_running_loop().time
         self._pool = client.Pool(self._clock, True)
         self._observed_at_by_crash = {}
@@ -106,7 +106,7 @@
         """Start to send each live entry the crashes that it lacks."""
         if not self._observed_at_by_crash:
             return
-        vm_ids = set(self._news.addresses_by_vm) - {self._vm_id}
+        vm_ids = set(self._cluster_state.addresses_by_vm) - {self._vm_id}
         self._delivered_by_vm = {
             vm_id: delivered
             for vm_id, delivered in self._delivered_by_vm.items()
@@ -133,7 +133,7 @@
         )
 
     def _incarnation(self, vm_id):
-        return self._news.incarnations_by_vm.get(vm_id, "")
+        return self._cluster_state.incarnations_by_vm.get(vm_id, "")
 
     def _delivered(self, vm_id, incarnation):
         """Return the crashes that an incarnation of an entry acknowledged."""
@@ -166,7 +166,7 @@
             del self._tasks_by_vm[vm_id]
 
     def _is_live(self, vm_id):
-        return vm_id in self._news.addresses_by_vm
+        return vm_id in self._cluster_state.addresses_by_vm
 
     def _record_delivery(self, vm_id, incarnation, crashes):
         """Record the crashes that an entry acknowledged.
@@ -181,7 +181,7 @@
         )
 
     async def _send(self, vm_id, crashes):
-        address = self._news.addresses_by_vm[vm_id]
+        address = self._cluster_state.addresses_by_vm[vm_id]
         await peer_calls.call(
             self._pool, vm_id, address, TARGET, crashes, LIMITS
         )
--- a/packages/gateway/anvilwell_gateway/crash_sync.py
+++ b/packages/gateway/anvilwell_gateway/crash_sync.py
@@ -39,15 +39,15 @@
     ----------
     vm_id : str
         This VM, which is not asked.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         The entries that live, and where.
     apply : callable
         Takes each `quarantine.KnownCrashes`.
     """
 
-    def __init__(self, vm_id, news, apply):
+    def __init__(self, vm_id, cluster_state, apply):
         self._vm_id = vm_id
-        self._news = news
+        self._cluster_state = cluster_state
         self._apply = apply
         self._pool = client.Pool(asyncio.get_running_loop().time)
         self._answered = set()
@@ -73,13 +73,13 @@
     def _choose_entries(self):
         """Return some entries to ask, none once enough have answered."""
         missing = ENTRIES_TO_ASK - len(self._answered)
-        unasked = set(self._news.addresses_by_vm).difference(
+        unasked = set(self._cluster_state.addresses_by_vm).difference(
             self._answered, (self._vm_id,)
         )
         return random.sample(sorted(unasked), min(missing, len(unasked)))
 
     async def _ask(self, vm_id):
-        address = self._news.addresses_by_vm.get(vm_id)
+        address = self._cluster_state.addresses_by_vm.get(vm_id)
         if address is None:
             return
         try:
--- a/packages/gateway/anvilwell_gateway/crash_tracker.py
+++ b/packages/gateway/anvilwell_gateway/crash_tracker.py
@@ -15,11 +15,11 @@
 import pydantic
 
 from anvilwell_decisions.requests import quarantine as quarantines
+from anvilwell_gateway import cluster_state
 from anvilwell_gateway import crash_notifier
 from anvilwell_gateway import crash_sync
 from anvilwell_gateway.http import client
 from anvilwell_gateway import measures
-from anvilwell_gateway import news
 from anvilwell_gateway import tasks
 from anvilwell_gateway import trials
 from anvilwell_kernel import exceptions
@@ -27,7 +27,7 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_outside.ports import keyvalue
 
-PREFIX = f"{news.PREFIX}crashes/"
+PREFIX = f"{cluster_state.PREFIX}crashes/"
 # Targets of requests from other entries that a tracker answers.
 TARGETS = frozenset((crash_notifier.TARGET, crash_sync.TARGET, trials.TARGET))
 # How long an attempt waits for the check whether its replica crashed, in
@@ -65,7 +65,7 @@
         Reports replicas that are no longer present.
     vm_id : str
         The id of this VM.
-    peers : news.News
+    peers : cluster_state.ClusterState
         The other entries, which are notified and queried directly.
     """
 
--- a/packages/gateway/anvilwell_gateway/duties/holding.py
+++ b/packages/gateway/anvilwell_gateway/duties/holding.py
@@ -11,14 +11,14 @@
 
 from anvilwell_decisions.duties import rendezvous
 from anvilwell_decisions.leases import leadership
-from anvilwell_gateway import news as news_
+from anvilwell_gateway import cluster_state as cluster_states
 from anvilwell_gateway import tasks
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
 from anvilwell_kernel.telemetry import logs
 from anvilwell_outside.ports import keyvalue
 
-PREFIX = f"{news_.PREFIX}duty/"
+PREFIX = f"{cluster_states.PREFIX}duty/"
 # Between looks at who holds the duty, in seconds.
 LOOK_S = 0.3
 # The next candidate tries so much later, in seconds: several times what a
@@ -92,17 +92,17 @@
         Where its holder's key lies.
     presence : presence.Presence
         This process and its lease.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         Who lives, and what changes.
     turn_s : float
         Least time between acts of holders that take turns, in seconds.
     """
 
-    def __init__(self, name, store, presence, news, turn_s):
+    def __init__(self, name, store, presence, cluster_state, turn_s):
         self._name = name
         self._store = store
         self._presence = presence
-        self._news = news
+        self._cluster_state = cluster_state
         self._turn_s = turn_s
         self._clock = asyncio.get_running_loop().time
         self._keys = leadership.keys(name, PREFIX)
@@ -114,7 +114,7 @@
         # The number of the last holder that was seen here.
         self._last_fencing = 0
         self.tenure = None
-        news.pass_on(self._keys.prefix, self)
+        cluster_state.delegate_prefix(self._keys.prefix, self)
 
     @property
     def holder(self):
@@ -171,7 +171,7 @@
         if self.tenure and self.tenure.is_over:
             _LOG.log("duty-lost", duty=self._name, fencing=self.tenure.fencing)
             self.tenure = None
-        if self.tenure or self._holder or not self._news.is_loaded:
+        if self.tenure or self._holder or not self._cluster_state.is_loaded:
             return
         now = self._clock()
         if self._presence.session.is_held(now) and self._is_our_turn(now):
@@ -180,7 +180,7 @@
     def _is_our_turn(self, now):
         mine = self._presence.vm_id
         ranked = rendezvous.rank_vms(
-            self._name, {*self._news.incarnations_by_vm, mine}
+            self._name, {*self._cluster_state.incarnations_by_vm, mine}
         )
         delay_s = RANK_DELAY_S * ranked.index(mine)
         return now >= self._vacant_since + delay_s
--- a/packages/gateway/anvilwell_gateway/duties/reporting.py
+++ b/packages/gateway/anvilwell_gateway/duties/reporting.py
@@ -50,7 +50,7 @@
         Where reports lie before they are sent.
     presence : presence.Presence
         This process.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         Which processes live.
     duty : holding.Duty
         Whether this process is the holder.
@@ -66,7 +66,7 @@
         self,
         store,
         presence,
-        news,
+        cluster_state,
         duty,
         platform,
         settings,
@@ -75,7 +75,7 @@
         self._wall_time = wall_time
         self._store = store
         self._presence = presence
-        self._news = news
+        self._cluster_state = cluster_state
         self._duty = duty
         self._platform = platform
         self._window_s = settings.window_s
@@ -140,7 +140,9 @@
         holder hears all others within about a second.
         """
         self._true_now()
-        return self._true_time.is_known(len(self._news.incarnations_by_vm))
+        return self._true_time.is_known(
+            len(self._cluster_state.incarnations_by_vm)
+        )
 
     def _true_now(self):
         now = self._clock()
@@ -207,7 +209,7 @@
 
     def _is_due(self, window, now):
         _, end = self._collected.bounds(window)
-        lives = self._news.incarnations_by_vm.values()
+        lives = self._cluster_state.incarnations_by_vm.values()
         is_whole = self._collected.is_complete(window, lives)
         return now >= end + (SETTLE_S if is_whole else PATIENCE_S)
 
--- a/packages/gateway/anvilwell_gateway/duties/reports.py
+++ b/packages/gateway/anvilwell_gateway/duties/reports.py
@@ -74,13 +74,17 @@
         self._teller = teller
 
     @classmethod
-    def from_config(cls, settings, store, presence, news, platform):
+    def from_config(cls, settings, store, presence, cluster_state, platform):
         """Return the usage reports that `config.UsageSection` asks for."""
-        duty = holding.Duty(DUTY, store, presence, news, settings.turn_s)
+        duty = holding.Duty(
+            DUTY, store, presence, cluster_state, settings.turn_s
+        )
         reporter = reporting.Reporter(
-            store, presence, news, duty, platform, settings
+            store, presence, cluster_state, duty, platform, settings
+        )
+        teller = telling.Teller(
+            presence, cluster_state, duty, reporter.hear, settings
         )
-        teller = telling.Teller(presence, news, duty, reporter.hear, settings)
         return cls(duty, reporter, teller)
 
     @property
@@ -119,7 +123,7 @@
         return self._reporter.gauge_values()
 
 
-def build(settings, platform, presence, news):
+def build(settings, platform, presence, cluster_state):
     """Return the `Usage` that the `config.Settings` ask for."""
     if settings.usage is None:
         return NoUsage()
@@ -127,6 +131,6 @@
         settings.usage,
         platform.store,
         presence,
-        news,
+        cluster_state,
         platform.duties_at(settings.usage.endpoint),
     )
--- a/packages/gateway/anvilwell_gateway/duties/telling.py
+++ b/packages/gateway/anvilwell_gateway/duties/telling.py
@@ -54,7 +54,7 @@
     ----------
     presence : presence.Presence
         This process.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         Where other processes are.
     duty : holding.Duty
         Who the holder is.
@@ -67,11 +67,17 @@
     """
 
     def __init__(
-        self, presence, news, duty, hear, settings, wall_time=time.time
+        self,
+        presence,
+        cluster_state,
+        duty,
+        hear,
+        settings,
+        wall_time=time.time,
     ):
         self._wall_time = wall_time
         self._presence = presence
-        self._news = news
+        self._cluster_state = cluster_state
         self._duty = duty
         self._hear = hear
         self._window_s = settings.window_s
@@ -164,7 +170,7 @@
     async def _true_time(self, holder, told):
         if holder == self._presence.vm_id:
             return self._hear(told)
-        address = self._news.addresses_by_vm.get(holder)
+        address = self._cluster_state.addresses_by_vm.get(holder)
         if address is None:
             raise exceptions.Refused("the holder is not known to live")
         body = await peer_calls.call(
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -139,7 +139,7 @@
     @property
     def incarnations_by_vm(self):
         """The life of each entry that is known here."""
-        return self.fleet.news.incarnations_by_vm
+        return self.fleet.cluster_state.incarnations_by_vm
 
     @property
     def metrics_port(self):
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
+from anvilwell_gateway import cluster_state
 from anvilwell_gateway import configuration as configurations
 from anvilwell_gateway import directory as directories
 from anvilwell_gateway import feeds
 from anvilwell_gateway import measures
 from anvilwell_gateway import neighbours
-from anvilwell_gateway import news
 from anvilwell_gateway import presence as presences
 from anvilwell_gateway import retirement
 from anvilwell_gateway import store_paths
@@ -48,17 +48,17 @@
             self.presence.has_answered_recently,
         )
         self.feeds = feeds.Feeds(self.presence.can_confirm_ownership)
-        self.news = news.News(
+        self.cluster_state = cluster_state.ClusterState(
             self.store, self.presence, self.store_path, self.neighbours
         )
         self.versions = versions.Versions(self.store, platform.codec)
         self.retirement = retirement.Retirement(
-            self.store, platform.codec, self.news, daemon.vm_id
+            self.store, platform.codec, self.cluster_state, daemon.vm_id
         )
         self._followers = [
             self.configuration,
             self.directory,
-            self.news,
+            self.cluster_state,
             self.versions,
             self.retirement,
         ]
@@ -120,5 +120,7 @@
             *self.presence.gauge_values(),
             *self.store_path.gauge_values(),
             *self.directory.gauge_values(),
-            measures.GaugeValue("peers", len(self.news.incarnations_by_vm)),
+            measures.GaugeValue(
+                "peers", len(self.cluster_state.incarnations_by_vm)
+            ),
         ]
--- a/packages/gateway/anvilwell_gateway/frontend.py
+++ b/packages/gateway/anvilwell_gateway/frontend.py
@@ -117,7 +117,7 @@
         return (
             not self._is_draining
             and self._fleet.is_informed
-            and self._fleet.news.is_loaded
+            and self._fleet.cluster_state.is_loaded
         )
 
     async def _answer_health(self, request, responder):
--- a/packages/gateway/anvilwell_gateway/live_calls.py
+++ b/packages/gateway/anvilwell_gateway/live_calls.py
@@ -32,12 +32,14 @@
             fleet.store,
             fleet.directory,
             fleet.vm_id,
-            fleet.news,
+            fleet.cluster_state,
         )
-        fleet.news.pass_on(crash_tracker.PREFIX, self.crash_tracker)
-        fleet.news.listen_entries(self.crash_tracker.entries_changed)
+        fleet.cluster_state.delegate_prefix(
+            crash_tracker.PREFIX, self.crash_tracker
+        )
+        fleet.cluster_state.listen_entries(self.crash_tracker.entries_changed)
         self.usage = reports.build(
-            settings, platform, fleet.presence, fleet.news
+            settings, platform, fleet.presence, fleet.cluster_state
         )
         self.forwarder = forwarding.Forwarder(
             platform.dialect,
--- a/packages/gateway/anvilwell_gateway/retirement.py
+++ b/packages/gateway/anvilwell_gateway/retirement.py
@@ -24,10 +24,10 @@
     or cut off is answered for too.
     """
 
-    def __init__(self, store, codec, news, vm_id):
+    def __init__(self, store, codec, cluster_state, vm_id):
         super().__init__(store, codec.retire_prefix)
         self._codec = codec
-        self._news = news
+        self._cluster_state = cluster_state
         self._vm_id = vm_id
         self._tasks = set()
 
@@ -52,7 +52,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _write(self, key):
-        peers = sorted({*self._news.incarnations_by_vm, self._vm_id})
+        peers = sorted({*self._cluster_state.incarnations_by_vm, self._vm_id})
         await asyncio.sleep(RANK_DELAY_S * peers.index(self._vm_id))
         note_key, value = self._codec.retirement_entry(key)
         try:
--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -67,15 +67,15 @@
     ----------
     vm_id : str
         The id of this VM.
-    news : news.News
+    cluster_state : cluster_state.ClusterState
         The entries that live, and where.
     quarantine : quarantine.Quarantine
         The replicas that crashed under each request.
     """
 
-    def __init__(self, vm_id, news, quarantine):
+    def __init__(self, vm_id, cluster_state, quarantine):
         self._vm_id = vm_id
-        self._news = news
+        self._cluster_state = cluster_state
         self._quarantine = quarantine
         self._loop = asyncio.get_running_loop()
         self._pool = client.Pool(self._loop.time, True)
@@ -119,7 +119,7 @@
     def _deciders(self, fingerprint):
         """Return the ids of the deciders, this VM if no entry is known."""
         vm_ids = rendezvous.rank_vms(
-            f"try {fingerprint}", self._news.addresses_by_vm
+            f"try {fingerprint}", self._cluster_state.addresses_by_vm
         )
         return vm_ids[:DECIDERS] or [self._vm_id]
 
@@ -131,7 +131,7 @@
         )
         if decider == self._vm_id:
             return self.decide(request)
-        address = self._news.addresses_by_vm.get(decider)
+        address = self._cluster_state.addresses_by_vm.get(decider)
         if address is None:
             return trials.RETRY_WAIT_S
         try:
--- a/packages/gateway/tests/batches/test_homes.py
+++ b/packages/gateway/tests/batches/test_homes.py
@@ -13,7 +13,7 @@
 
 
 def _homes(replicas, items=176):
-    news = types.SimpleNamespace(
+    cluster_state = types.SimpleNamespace(
         live_by_vm={
             f"vm{n}": live_keys.LiveKeyValue(
                 "life", "", "a", 2.0 if n < 6 else 0.5, 100.0
@@ -38,7 +38,7 @@
             for step in range(9)
         }
     )
-    return all_homes.Homes(news, directory, owners)
+    return all_homes.Homes(cluster_state, directory, owners)
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
 def test_a_vm_that_goes_moves_the_batches_of_its_models_alone():
     homes = _homes(300, 2000)
     first, second, third = homes.all("lm")
-    del homes._news.live_by_vm[third]
+    del homes._cluster_state.live_by_vm[third]
 
     now = homes.all("lm")
     assert now[:2] == (first, second)
--- a/packages/gateway/tests/batches/test_slot_sharing.py
+++ b/packages/gateway/tests/batches/test_slot_sharing.py
@@ -48,11 +48,13 @@
     """One home's dispatch and sharing, and what waits there."""
 
     def __init__(self, vm_id, peers_by_vm, homes):
-        news = types.SimpleNamespace(
+        cluster_state = types.SimpleNamespace(
             addresses_by_vm=dict.fromkeys(homes, "10.0.0.1:1")
         )
         self.slot_sharing = slot_sharing.SlotSharing(
-            vm_id, news, types.SimpleNamespace(all=lambda service: homes)
+            vm_id,
+            cluster_state,
+            types.SimpleNamespace(all=lambda service: homes),
         )
         self.pool = self.slot_sharing._pool = _Pool(peers_by_vm)
         self.dispatch = dispatches.Dispatcher()
--- a/packages/gateway/tests/duties/duty_world.py
+++ b/packages/gateway/tests/duties/duty_world.py
@@ -205,7 +205,7 @@
             raise client.call_error("no answer")
 
 
-class News:
+class ClusterState:
     """Polls who lives, and tells the duty of its holder."""
 
     POLL_S = 0.2
@@ -216,7 +216,7 @@
         self.incarnations_by_vm = {}
         self.is_loaded = False
 
-    def pass_on(self, prefix, taker):
+    def delegate_prefix(self, prefix, taker):
         self._takers_by_prefix[prefix] = taker
 
     async def run(self):
@@ -256,14 +256,14 @@
         self.reach = Reach(store, self)
         self.platform = Platform(self, calls)
         self.presence = presence.Presence(self.reach, vm_id)
-        self.news = News(self.reach)
+        self.cluster_state = ClusterState(self.reach)
         self.duty = holding.Duty(
-            "usage", self.reach, self.presence, self.news, TURN_S
+            "usage", self.reach, self.presence, self.cluster_state, TURN_S
         )
         self.reporter = reporting.Reporter(
             self.reach,
             self.presence,
-            self.news,
+            self.cluster_state,
             self.duty,
             self.platform,
             SETTINGS,
@@ -293,7 +293,7 @@
         self.presence.start("127.0.0.1:1")
         self.duty.start()
         self.reporter.start()
-        self._tasks.append(asyncio.create_task(self.news.run()))
+        self._tasks.append(asyncio.create_task(self.cluster_state.run()))
 
     async def kill(self):
         """End at once, without a word."""
--- a/packages/gateway/tests/test_crash_notifier.py
+++ b/packages/gateway/tests/test_crash_notifier.py
@@ -40,13 +40,13 @@
         async def body():
             pool = _Pool()
             monkeypatch.setattr(crash_notifier.client, "Pool", lambda *_: pool)
-            news = types.SimpleNamespace(
+            cluster_state = types.SimpleNamespace(
                 addresses_by_vm={"entry-1": "a:1", "entry-2": "a:2"},
                 incarnations_by_vm={"entry-1": "one", "entry-2": "two"},
             )
-            notifier = crash_notifier.CrashNotifier("entry-1", news)
+            notifier = crash_notifier.CrashNotifier("entry-1", cluster_state)
             try:
-                await scenario(notifier, pool, news)
+                await scenario(notifier, pool, cluster_state)
             finally:
                 await notifier.stop()
 
@@ -56,8 +56,8 @@
 
 
 def test_the_others_are_told_at_once_and_what_comes_meanwhile_after(play):
-    async def scenario(notifier, pool, news):
-        news.addresses_by_vm["entry-3"] = "a:3"
+    async def scenario(notifier, pool, cluster_state):
+        cluster_state.addresses_by_vm["entry-3"] = "a:3"
         notifier.notify(CRASH)
         await asyncio.sleep(0)
         notifier.notify(LATER_CRASH)
@@ -73,11 +73,11 @@
 def test_an_entry_that_is_heard_of_after_an_end_is_told_of_it(play):
     """Else it lets the same request end two replicas of its own."""
 
-    async def scenario(notifier, pool, news):
+    async def scenario(notifier, pool, cluster_state):
         notifier.notify(CRASH)
         await asyncio.sleep(60.0)
-        news.addresses_by_vm["entry-3"] = "a:3"
-        news.incarnations_by_vm["entry-2"] = "another"
+        cluster_state.addresses_by_vm["entry-3"] = "a:3"
+        cluster_state.incarnations_by_vm["entry-2"] = "another"
         notifier.entries_changed()
         await asyncio.sleep(0.01)
         assert pool.told == [
@@ -87,7 +87,7 @@
         ]
         notifier.entries_changed()
         await asyncio.sleep(3600.0)
-        news.addresses_by_vm["entry-4"] = "a:4"
+        cluster_state.addresses_by_vm["entry-4"] = "a:4"
         notifier.entries_changed()
         await asyncio.sleep(0.01)
         assert len(pool.told) == 3
@@ -96,7 +96,7 @@
 
 
 def test_an_entry_is_told_again_that_did_not_answer(play):
-    async def scenario(notifier, pool, news):
+    async def scenario(notifier, pool, cluster_state):
         pool.failures = len(crash_notifier.RETRY_DELAYS_S)
         notifier.notify(CRASH)
         await asyncio.sleep(sum(crash_notifier.RETRY_DELAYS_S) + 0.1)
@@ -108,7 +108,7 @@
 def test_an_entry_that_stays_silent_is_told_once_it_answers(play):
     """Cut off from one witness for minutes, it took callers all the same."""
 
-    async def scenario(notifier, pool, news):
+    async def scenario(notifier, pool, cluster_state):
         pool.failures = 100
         notifier.notify(CRASH)
         await asyncio.sleep(300.0)
@@ -127,7 +127,7 @@
 
 
 def test_an_entry_that_stays_silent_is_given_up_once_an_end_is_old(play):
-    async def scenario(notifier, pool, news):
+    async def scenario(notifier, pool, cluster_state):
         pool.failures = 1 << 20
         notifier.notify(CRASH)
         await asyncio.sleep(3600.0)
@@ -140,9 +140,9 @@
 
 
 def test_an_entry_that_has_gone_is_not_asked(play):
-    async def scenario(notifier, pool, news):
+    async def scenario(notifier, pool, cluster_state):
         notifier.notify(CRASH)
-        del news.addresses_by_vm["entry-2"]
+        del cluster_state.addresses_by_vm["entry-2"]
         await asyncio.sleep(3600.0)
         assert pool.told == []
 
@@ -150,7 +150,7 @@
 
 
 def test_what_waits_for_one_entry_is_bounded(play):
-    async def scenario(notifier, pool, news):
+    async def scenario(notifier, pool, cluster_state):
         pool.failures = 1
         for number in range(2 * crash_notifier.MAX_PENDING_CRASHES):
             notifier.notify(crash_notifier.Crash(f"r{number}", ("f1",)))
--- a/packages/gateway/tests/test_crash_sync.py
+++ b/packages/gateway/tests/test_crash_sync.py
@@ -37,15 +37,15 @@
     pool = _Pool()
     monkeypatch.setattr(crash_sync.client, "Pool", lambda *_: pool)
     entries = {f"entry-{number}": f"a:{number}" for number in range(9)}
-    news = types.SimpleNamespace(addresses_by_vm={"entry-0": "a:0"})
+    cluster_state = types.SimpleNamespace(addresses_by_vm={"entry-0": "a:0"})
     applied = []
 
     async def scenario():
-        sync = crash_sync.CrashSync("entry-0", news, applied.append)
+        sync = crash_sync.CrashSync("entry-0", cluster_state, applied.append)
         sync.entries_changed()
         await asyncio.sleep(60.0)
         assert not pool.asked
-        news.addresses_by_vm = entries
+        cluster_state.addresses_by_vm = entries
         pool.silent = set(entries)
         sync.entries_changed()
         await asyncio.sleep(60.0)
--- a/packages/gateway/tests/test_notices.py
+++ b/packages/gateway/tests/test_notices.py
@@ -55,7 +55,7 @@
     targets = (facts.Weighted("lm", 1.0), facts.Weighted("lm-next", 1.0))
     route = facts.Route("r", "h", "/", targets, True)
     plain = facts.Route("p", "h", "/p", (facts.Weighted("app", 1.0),))
-    news = types.SimpleNamespace(
+    cluster_state = types.SimpleNamespace(
         incarnations_by_vm={"e1": "l1", "e2": "l2", "e3": "l3"},
         live_by_vm={
             "e1": live_keys.LiveKeyValue("l1", "", "a", 1.0),
@@ -76,9 +76,9 @@
 
     async def scenario():
         directory = types.SimpleNamespace(replicas_by_id={})
-        homes = all_homes.Homes(news, directory, known)
+        homes = all_homes.Homes(cluster_state, directory, known)
         found = notice_subscribers.NoticeSubscribers(
-            news, known, configuration, homes
+            cluster_state, known, configuration, homes
         )
         before = [found.find(s) for s in ("lm", "lm-next", "app", None)]
         del known.claims_by_id["b1"]
--- a/packages/gateway/tests/test_trials.py
+++ b/packages/gateway/tests/test_trials.py
@@ -26,7 +26,7 @@
         self._trials_by_vm = trials_by_vm
         self.is_cut = False
         # What each entry knows of the others.
-        self.news_by_vm = {
+        self.cluster_states_by_vm = {
             vm_id: types.SimpleNamespace(addresses_by_vm=dict(ADDRESSES_BY_VM))
             for vm_id in ADDRESSES_BY_VM
         }
@@ -57,8 +57,10 @@
             }
             for vm_id, quarantine in quarantine_by_vm.items():
                 quarantine.add_crashes("f", ["r1", "r2"], 0.0)
-                news = pool.news_by_vm[vm_id]
-                trials_by_vm[vm_id] = trials.Trials(vm_id, news, quarantine)
+                cluster_state = pool.cluster_states_by_vm[vm_id]
+                trials_by_vm[vm_id] = trials.Trials(
+                    vm_id, cluster_state, quarantine
+                )
             await asyncio.sleep(PAUSE_S)
             await scenario(trials_by_vm, quarantine_by_vm, pool)
             for one in trials_by_vm.values():
@@ -90,8 +92,8 @@
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
         async with trials_by_vm[OTHERS[0]].trial("f") as wait_s:
             assert wait_s == 0
-            for news in pool.news_by_vm.values():
-                del news.addresses_by_vm[DECIDER]
+            for cluster_state in pool.cluster_states_by_vm.values():
+                del cluster_state.addresses_by_vm[DECIDER]
             for vm_id in OTHERS[1:]:
                 async with trials_by_vm[vm_id].trial("f") as wait_s:
                     assert wait_s == decisions.RETRY_WAIT_S
@@ -108,7 +110,7 @@
     """One did not know the newest entry yet; each asked another decider."""
 
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
-        del pool.news_by_vm[OTHERS[1]].addresses_by_vm[unknown]
+        del pool.cluster_states_by_vm[OTHERS[1]].addresses_by_vm[unknown]
         triers = {OTHERS[1], first}
         waits = await asyncio.gather(
             *(_wait_s(trials_by_vm[vm_id], 0.1) for vm_id in sorted(triers))
