--- a/packages/gateway/tests/conftest.py
+++ b/packages/gateway/tests/conftest.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only as its timers are due."""
+"""An event loop in virtual time, which advances from timer to timer."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Jumps to the next timer whenever nothing else is to be done."""
+    """Advances its clock to the next timer when no callback is ready."""
 
     def __init__(self):
         super().__init__()
@@ -23,7 +23,7 @@
 
 @pytest.fixture(scope="session")
 def run_virtual():
-    """Return what runs a coroutine in virtual time."""
+    """Return a function that runs a coroutine in virtual time."""
 
     def run(coroutine):
         with asyncio.Runner(loop_factory=VirtualLoop) as runner:
--- a/packages/gateway/tests/http/test_client.py
+++ b/packages/gateway/tests/http/test_client.py
@@ -1,4 +1,4 @@
-"""Connections that are probed, and what a timeout does to idle ones."""
+"""Tests keepalive probes and timeouts of the client's connections."""
 
 import asyncio
 import contextlib
@@ -26,15 +26,15 @@
         await server.stop()
 
 
-async def _at_once(request, responder):
+async def _answer_at_once(request, responder):
     await responder.send(200)
 
 
 @pytest.mark.parametrize("use_keepalive", [False, True])
-def test_only_peers_that_are_to_be_probed_are(use_keepalive):
+def test_only_connections_with_keepalive_are_probed(use_keepalive):
     async def scenario():
         pool = client.Pool(asyncio.get_running_loop().time, use_keepalive)
-        async with _served(_at_once) as address:
+        async with _served(_answer_at_once) as address:
             connection = await pool.acquire("k", address)
             peer = connection._writer.get_extra_info("socket")
             probes = peer.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
@@ -48,16 +48,16 @@
     assert asyncio.run(scenario()) == expected
 
 
-def test_a_timeout_closes_the_idle_connections_too():
-    hangs = False
+def test_a_timeout_closes_the_idle_connections_of_the_peer():
+    is_hanging = False
 
     async def handle(request, responder):
-        if hangs:
+        if is_hanging:
             await asyncio.get_running_loop().create_future()
         await responder.send(200)
 
     async def scenario():
-        nonlocal hangs
+        nonlocal is_hanging
         pool = client.Pool(asyncio.get_running_loop().time)
         async with _served(handle) as address:
             first = pool.call("k", address, REQUEST, 5.0, 100)
@@ -65,7 +65,7 @@
             await asyncio.gather(first, second)
             idle = list(pool._idle_by_key["k"])
             assert len(idle) == 2
-            hangs = True
+            is_hanging = True
             with pytest.raises(exceptions.BackendFailed) as caught:
                 await pool.call("k", address, REQUEST, 0.05, 100)
             assert not pool._idle_by_key["k"]
@@ -74,10 +74,10 @@
     assert asyncio.run(scenario()) is verdicts.Verdict.MAY_HAVE_RUN
 
 
-def test_a_peer_that_takes_no_connection_was_sent_nothing():
+def test_a_refused_connection_means_that_the_request_did_not_run():
     async def scenario():
         pool = client.Pool(asyncio.get_running_loop().time)
-        async with _served(_at_once) as address:
+        async with _served(_answer_at_once) as address:
             pass
         with pytest.raises(exceptions.BackendFailed) as caught:
             await pool.call("k", address, REQUEST, 5.0, 100)
--- a/packages/gateway/tests/http/test_finishing.py
+++ b/packages/gateway/tests/http/test_finishing.py
@@ -1,4 +1,8 @@
-"""What a server has read is answered, whatever ends its connections."""
+"""Tests that requests the server has read are answered as it stops.
+
+Guards against requests that are lost when a timeout, a drain or a fault of
+the handler ends their connection.
+"""
 
 import asyncio
 
@@ -7,31 +11,31 @@
 from anvilwell_kernel import exceptions
 import pytest
 
-HERE = options.Address("127.0.0.1", 0)
-REQUEST = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\n"
-WHOLE = REQUEST + b"x"
-# Longer than any test takes.
+LOCAL_ADDRESS = options.Address("127.0.0.1", 0)
+PARTIAL_REQUEST = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\n"
+WHOLE_REQUEST = PARTIAL_REQUEST + b"x"
+# A timeout that never expires in a test, in seconds.
 LONG_S = 600.0
 
 
-class _Site:
-    """A server whose handler answers once it may, and one caller."""
+class _Harness:
+    """A server whose handler waits for `may_answer`, and one caller."""
 
     def __init__(self):
         self.may_answer = asyncio.Event()
-        self.came = asyncio.Semaphore(0)
-        self.server = servers.Server(HERE, self._answer)
+        self.received = asyncio.Semaphore(0)
+        self.server = servers.Server(LOCAL_ADDRESS, self._answer)
         self.server.limits = servers.FIRST_LIMITS._replace(
             idle_timeout_s=LONG_S, header_timeout_s=LONG_S
         )
 
     async def _answer(self, request, responder):
-        self.came.release()
+        self.received.release()
         await self.may_answer.wait()
         await responder.send(200, (), request.body)
 
     async def connect(self):
-        """Return a caller's streams; the server waits for its request."""
+        """Connect a caller; return its streams once the server accepted it."""
         known = len(self.server._connections)
         streams = await asyncio.open_connection("127.0.0.1", self.server.port)
         while len(self.server._connections) == known:
@@ -39,61 +43,63 @@
         return streams
 
     def feed(self, data):
-        """Have the server read `data` at this very moment."""
+        """Add `data` to what the server has received, at once."""
         (connection,) = self.server._connections
         connection._reader.feed_data(data)
 
 
 def _run(scenario, run=asyncio.run):
     async def main():
-        site = _Site()
-        await site.server.start()
+        harness = _Harness()
+        await harness.server.start()
         try:
-            return await scenario(site)
+            return await scenario(harness)
         finally:
-            await site.server.stop()
+            await harness.server.stop()
 
     return run(main())
 
 
-def test_what_comes_as_the_idle_time_ends_is_answered(run_virtual):
-    """Was read and thrown away: its caller saw the connection end.
+def test_a_request_that_arrives_as_the_idle_timeout_expires_is_answered(
+    run_virtual,
+):
+    """Guards against a request that is read and dropped with its connection.
 
-    Time passes at once here when nothing else is to be done, so the timer
-    and the request fall into one turn of the loop.
+    Virtual time advances at once when no callback is ready, so the timeout
+    and the request fall into the same iteration of the loop.
     """
 
-    async def scenario(site):
-        site.may_answer.set()
-        site.server.limits = servers.FIRST_LIMITS
-        reader, writer = await site.connect()
-        writer.write(WHOLE)
+    async def scenario(harness):
+        harness.may_answer.set()
+        harness.server.limits = servers.FIRST_LIMITS
+        reader, writer = await harness.connect()
+        writer.write(WHOLE_REQUEST)
         return await reader.readline()
 
     assert b" 200 " in _run(scenario, run_virtual)
 
 
-def test_idle_connections_end_in_order():
-    """A reset could reach a caller before an answer that it has not read."""
+def test_idle_connections_are_closed_without_a_reset():
+    """Guards against a reset that overtakes a response not read yet."""
 
-    async def scenario(site):
-        reader, _ = await site.connect()
-        await site.server.finish()
+    async def scenario(harness):
+        reader, _ = await harness.connect()
+        await harness.server.finish()
         return await reader.read()
 
     assert _run(scenario) == b""
 
 
-def test_what_comes_as_the_server_finishes_is_answered():
-    """Requests read after the last look were reset."""
+def test_a_request_that_arrives_as_the_server_finishes_is_answered():
+    """Guards against resetting a request read after the check for idleness."""
 
-    async def scenario(site):
-        reader, _ = await site.connect()
-        finishing = asyncio.create_task(site.server.finish())
+    async def scenario(harness):
+        reader, _ = await harness.connect()
+        finishing = asyncio.create_task(harness.server.finish())
         await asyncio.sleep(0)
-        site.feed(WHOLE)
-        await site.came.acquire()
-        site.may_answer.set()
+        harness.feed(WHOLE_REQUEST)
+        await harness.received.acquire()
+        harness.may_answer.set()
         await finishing
         return await reader.read()
 
@@ -102,33 +108,33 @@
     assert b"Connection: close" in answer
 
 
-def test_a_request_under_way_is_answered_before_the_server_has_finished():
-    """Its connection would be ended with the idle ones."""
+def test_a_request_in_progress_is_answered_before_the_server_finishes():
+    """Guards against closing its connection together with the idle ones."""
 
-    async def scenario(site):
-        reader, writer = await site.connect()
-        writer.write(WHOLE)
-        await site.came.acquire()
-        finishing = asyncio.create_task(site.server.finish())
+    async def scenario(harness):
+        reader, writer = await harness.connect()
+        writer.write(WHOLE_REQUEST)
+        await harness.received.acquire()
+        finishing = asyncio.create_task(harness.server.finish())
         await asyncio.sleep(0)
-        site.may_answer.set()
+        harness.may_answer.set()
         await finishing
         return await reader.read()
 
     assert b" 200 " in _run(scenario)
 
 
-@pytest.mark.parametrize("rest", [b"x", b"x" + WHOLE])
-def test_a_body_that_comes_while_the_server_finishes_is_taken(rest):
-    """A request that had begun to come would be thrown away half read."""
+@pytest.mark.parametrize("rest", [b"x", b"x" + WHOLE_REQUEST])
+def test_a_body_that_arrives_while_the_server_finishes_is_read(rest):
+    """Guards against dropping a request that has been read in part."""
 
-    async def scenario(site):
-        site.may_answer.set()
-        reader, writer = await site.connect()
-        writer.write(REQUEST)
-        while not site.server.in_flight:
+    async def scenario(harness):
+        harness.may_answer.set()
+        reader, writer = await harness.connect()
+        writer.write(PARTIAL_REQUEST)
+        while not harness.server.in_flight:
             await asyncio.sleep(0)
-        finishing = asyncio.create_task(site.server.finish())
+        finishing = asyncio.create_task(harness.server.finish())
         await asyncio.sleep(0)
         writer.write(rest)
         await finishing
@@ -137,29 +143,32 @@
     assert _run(scenario).count(b" 200 ") == rest.count(b"x")
 
 
-def test_half_a_head_is_refused_as_the_server_finishes():
-    """Its caller would not know that nothing ran."""
+def test_a_partial_head_is_refused_as_the_server_finishes():
+    """Guards against a caller that can't tell that its request did not run."""
 
-    async def scenario(site):
-        reader, _ = await site.connect()
-        site.feed(REQUEST[:9])
+    async def scenario(harness):
+        reader, _ = await harness.connect()
+        harness.feed(PARTIAL_REQUEST[:9])
         await asyncio.sleep(0)
-        await site.server.finish()
+        await harness.server.finish()
         return await reader.readline()
 
     assert b" 503 " in _run(scenario)
 
 
-def test_requests_that_were_read_behind_another_are_answered():
-    """`Connection: close` on the first answer threw the second away."""
+def test_pipelined_requests_are_answered_while_draining():
+    """Guards against `Connection: close` on the first of two responses.
+
+    It would drop the second request, which the server has read already.
+    """
 
-    async def scenario(site):
-        reader, writer = await site.connect()
-        site.server.is_draining = True
-        writer.write(WHOLE)
-        await site.came.acquire()
-        site.feed(WHOLE)
-        site.may_answer.set()
+    async def scenario(harness):
+        reader, writer = await harness.connect()
+        harness.server.is_draining = True
+        writer.write(WHOLE_REQUEST)
+        await harness.received.acquire()
+        harness.feed(WHOLE_REQUEST)
+        harness.may_answer.set()
         return await reader.read()
 
     answers = _run(scenario)
@@ -171,17 +180,21 @@
     "error",
     [
         ConnectionResetError("a replica"),
-        asyncio.CancelledError("a part that stops"),
-        exceptions.Refused("nobody took it"),
+        asyncio.CancelledError("a component that stops"),
+        exceptions.Refused("not caught by the handler"),
     ],
 )
-def test_a_handler_that_fails_before_its_answer_is_answered_for(error):
-    """Whatever looked like a fault of the caller's connection reset it."""
+def test_a_handler_that_fails_before_its_response_answers_500(error):
+    """Guards against taking a handler's error for one of the caller.
+
+    Errors of these types also come from the caller's connection, which is
+    then reset without a response.
+    """
 
-    async def scenario(site):
-        site.may_answer.wait = _raise
-        reader, writer = await site.connect()
-        writer.write(WHOLE)
+    async def scenario(harness):
+        harness.may_answer.wait = _raise
+        reader, writer = await harness.connect()
+        writer.write(WHOLE_REQUEST)
         return await reader.readline()
 
     async def _raise():
--- a/packages/gateway/tests/http/test_listening.py
+++ b/packages/gateway/tests/http/test_listening.py
@@ -1,4 +1,4 @@
-"""Callers that connect while the program is still loading."""
+"""Tests that callers can connect while the program is still loading."""
 
 import socket
 
@@ -11,13 +11,13 @@
     return path
 
 
-def _free():
+def _free_address():
     with socket.create_server(("127.0.0.1", 0)) as server:
         return f"127.0.0.1:{server.getsockname()[1]}"
 
 
 def test_callers_are_not_reset_before_the_program_is_loaded(tmp_path):
-    listen, ready = _free(), _free()
+    listen, ready = _free_address(), _free_address()
 
     early = listening.open_early(_settings(tmp_path, listen, ready))
 
@@ -29,7 +29,7 @@
     assert early.take(listen) is None
 
 
-def test_what_is_wrong_leaves_the_start_to_tell_it(tmp_path):
+def test_problems_of_the_settings_are_left_to_the_later_start(tmp_path):
     for path in (tmp_path / "none.ini", _settings(tmp_path, "x:y", "z")):
         early = listening.open_early(path)
 
--- a/packages/gateway/tests/http/test_server.py
+++ b/packages/gateway/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""What callers do not read counts as held, and is in memory once."""
+"""Tests how responses that callers have not read count as buffered."""
 
 import asyncio
 
@@ -6,22 +6,24 @@
 from anvilwell_gateway.http import server as servers
 from anvilwell_kernel.config import options
 
-# More than sockets and transports take between them.
-ANSWER = bytes(16 << 20)
-HERE = options.Address("127.0.0.1", 0)
-REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
-POST = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nsome body"
+# Larger than the buffers of the sockets and transports together.
+RESPONSE_BODY = bytes(16 << 20)
+LOCAL_ADDRESS = options.Address("127.0.0.1", 0)
+GET_REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+POST_REQUEST = (
+    b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nsome body"
+)
 
 
 def _run(scenario):
     async def run():
-        budget = byte_budget.ByteBudget(len(ANSWER))
+        budget = byte_budget.ByteBudget(len(RESPONSE_BODY))
 
         async def answer(request, responder):
-            body = ANSWER if request.method == "GET" else b""
+            body = RESPONSE_BODY if request.method == "GET" else b""
             await responder.send(200, (), body)
 
-        server = servers.Server(HERE, answer, None, budget)
+        server = servers.Server(LOCAL_ADDRESS, answer, None, budget)
         await server.start()
         try:
             await scenario(server, budget)
@@ -32,19 +34,19 @@
     asyncio.run(run())
 
 
-async def _ask(server, request):
+async def _send(server, request):
     reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
     writer.write(request)
     await writer.drain()
     return reader, writer
 
 
-def test_an_answer_counts_until_it_is_read():
+def test_a_response_counts_as_buffered_until_it_is_read():
     async def scenario(server, budget):
-        reader, writer = await _ask(server, REQUEST)
+        reader, writer = await _send(server, GET_REQUEST)
         while not budget.held_bytes:
             await asyncio.sleep(0.01)
-        assert await reader.readexactly(len(ANSWER))
+        assert await reader.readexactly(len(RESPONSE_BODY))
         while budget.held_bytes:
             await asyncio.sleep(0.01)
         writer.close()
@@ -52,23 +54,23 @@
     _run(scenario)
 
 
-def test_new_bodies_are_refused_while_answers_are_not_read():
+def test_bodies_are_refused_while_the_budget_is_used_up():
     async def scenario(server, budget):
         budget.hold(budget.total_bytes)
-        reader, writer = await _ask(server, POST)
+        reader, writer = await _send(server, POST_REQUEST)
         assert b" 503 " in await reader.readline()
         budget.release(budget.total_bytes)
         writer.close()
-        reader, writer = await _ask(server, POST)
+        reader, writer = await _send(server, POST_REQUEST)
         assert b" 200 " in await reader.readline()
         writer.close()
 
     _run(scenario)
 
 
-def test_a_reader_that_leaves_holds_nothing():
+def test_a_caller_that_disconnects_releases_its_bytes():
     async def scenario(server, budget):
-        _, writer = await _ask(server, REQUEST)
+        _, writer = await _send(server, GET_REQUEST)
         while not budget.held_bytes:
             await asyncio.sleep(0.01)
         writer.transport.abort()
--- a/packages/gateway/tests/test_crash_notifier.py
+++ b/packages/gateway/tests/test_crash_notifier.py
@@ -1,4 +1,4 @@
-"""What entries tell each other directly, in virtual time."""
+"""Tests the direct notifications between entries, in virtual time."""
 
 import asyncio
 import types
@@ -14,18 +14,18 @@
 
 
 class _Pool:
-    """Stands for the entries; `failures` of the next calls are lost."""
+    """Records calls to other entries; the next `failures` calls fail."""
 
     def __init__(self):
         self.failures = 0
-        self.told = []
+        self.sent = []
 
     async def call(self, key, address, request, timeout_s, max_bytes):
         await asyncio.sleep(0.001)
         if self.failures:
             self.failures -= 1
-            raise client.call_error("no answer")
-        self.told.append((key, crash_notifier.read(request.body)))
+            raise client.call_error("no response")
+        self.sent.append((key, crash_notifier.read(request.body)))
         return messages.Reply(200, ()), b""
 
     def close(self):
@@ -33,8 +33,8 @@
 
 
 @pytest.fixture
-def play(run_virtual, monkeypatch):
-    """Return what runs a scenario with a notifier and its peers."""
+def run_scenario(run_virtual, monkeypatch):
+    """Return a function that runs a scenario with a notifier and entries."""
 
     def run(scenario):
         async def body():
@@ -55,7 +55,9 @@
     return run
 
 
-def test_the_others_are_told_at_once_and_what_comes_meanwhile_after(play):
+def test_other_entries_are_notified_at_once_and_of_later_crashes_next(
+    run_scenario,
+):
     async def scenario(notifier, pool, cluster_state):
         cluster_state.addresses_by_vm["entry-3"] = "a:3"
         notifier.notify(CRASH)
@@ -63,15 +65,19 @@
         notifier.notify(LATER_CRASH)
         await asyncio.sleep(0.01)
         for vm_id in ("entry-2", "entry-3"):
-            told = [one for key, one in pool.told if key == vm_id]
-            assert told == [(CRASH,), (LATER_CRASH,)]
-        assert "entry-1" not in dict(pool.told)
+            sent = [one for key, one in pool.sent if key == vm_id]
+            assert sent == [(CRASH,), (LATER_CRASH,)]
+        assert "entry-1" not in dict(pool.sent)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_entry_that_is_heard_of_after_an_end_is_told_of_it(play):
-    """Else it lets the same request end two replicas of its own."""
+def test_an_entry_that_registers_after_a_crash_is_notified(run_scenario):
+    """Guards against an entry that lets the request crash two more replicas.
+
+    It does so if it is not notified of crashes before its registration. Old
+    crashes, and those that it acknowledged, are not sent again.
+    """
 
     async def scenario(notifier, pool, cluster_state):
         notifier.notify(CRASH)
@@ -80,7 +86,7 @@
         cluster_state.incarnations_by_vm["entry-2"] = "another"
         notifier.entries_changed()
         await asyncio.sleep(0.01)
-        assert pool.told == [
+        assert pool.sent == [
             ("entry-2", (CRASH,)),
             ("entry-2", (CRASH,)),
             ("entry-3", (CRASH,)),
@@ -90,23 +96,26 @@
         cluster_state.addresses_by_vm["entry-4"] = "a:4"
         notifier.entries_changed()
         await asyncio.sleep(0.01)
-        assert len(pool.told) == 3
+        assert len(pool.sent) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_entry_is_told_again_that_did_not_answer(play):
+def test_a_notification_without_a_response_is_repeated(run_scenario):
     async def scenario(notifier, pool, cluster_state):
         pool.failures = len(crash_notifier.RETRY_DELAYS_S)
         notifier.notify(CRASH)
         await asyncio.sleep(sum(crash_notifier.RETRY_DELAYS_S) + 0.1)
-        assert pool.told == [("entry-2", (CRASH,))]
+        assert pool.sent == [("entry-2", (CRASH,))]
+
+    run_scenario(scenario)
 
-    play(scenario)
 
+def test_an_unreachable_entry_is_notified_once_it_responds(run_scenario):
+    """Guards against retries that end while the entry is unreachable.
 
-def test_an_entry_that_stays_silent_is_told_once_it_answers(play):
-    """Cut off from one witness for minutes, it took callers all the same."""
+    An entry whose path from here is broken for minutes still serves callers.
+    """
 
     async def scenario(notifier, pool, cluster_state):
         pool.failures = 100
@@ -118,15 +127,15 @@
             <= len(crash_notifier.RETRY_DELAYS_S)
             + 300.0 / crash_notifier.RETRY_DELAYS_S[-1]
         )
-        assert pool.told == []
+        assert pool.sent == []
         pool.failures = 0
         await asyncio.sleep(crash_notifier.RETRY_DELAYS_S[-1] + 0.01)
-        assert pool.told == [("entry-2", (CRASH,))]
+        assert pool.sent == [("entry-2", (CRASH,))]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_entry_that_stays_silent_is_given_up_once_an_end_is_old(play):
+def test_notifications_of_old_crashes_are_abandoned(run_scenario):
     async def scenario(notifier, pool, cluster_state):
         pool.failures = 1 << 20
         notifier.notify(CRASH)
@@ -134,32 +143,32 @@
         pool.failures = 0
         notifier.notify(LATER_CRASH)
         await asyncio.sleep(0.01)
-        assert pool.told == [("entry-2", (LATER_CRASH,))]
+        assert pool.sent == [("entry-2", (LATER_CRASH,))]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_entry_that_has_gone_is_not_asked(play):
+def test_an_entry_that_has_left_is_not_notified(run_scenario):
     async def scenario(notifier, pool, cluster_state):
         notifier.notify(CRASH)
         del cluster_state.addresses_by_vm["entry-2"]
         await asyncio.sleep(3600.0)
-        assert pool.told == []
+        assert pool.sent == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_waits_for_one_entry_is_bounded(play):
+def test_the_crashes_pending_for_an_entry_are_limited(run_scenario):
     async def scenario(notifier, pool, cluster_state):
         pool.failures = 1
         for number in range(2 * crash_notifier.MAX_PENDING_CRASHES):
             notifier.notify(crash_notifier.Crash(f"r{number}", ("f1",)))
         await asyncio.sleep(1.0)
-        (told,) = [told for _, told in pool.told]
-        assert len(told) == crash_notifier.MAX_PENDING_CRASHES
+        (sent,) = [sent for _, sent in pool.sent]
+        assert len(sent) == crash_notifier.MAX_PENDING_CRASHES
         assert (
-            told[-1].replica_id
+            sent[-1].replica_id
             == f"r{2 * crash_notifier.MAX_PENDING_CRASHES - 1}"
         )
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/gateway/tests/test_crash_tracker.py
+++ b/packages/gateway/tests/test_crash_tracker.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of replicas that ended, in virtual time."""
+"""Tests how entries share crashes of replicas, in virtual time."""
 
 import asyncio
 import types
@@ -28,7 +28,7 @@
     def is_present(self, replica_id):
         return replica_id in self.ids
 
-    def lose(self):
+    def remove(self):
         gone, self.ids = self.ids, set()
         self.changed(directories.DirectoryChange(frozenset(gone), True))
 
@@ -39,7 +39,11 @@
 
 
 class _Store:
-    """Keeps entries; `faults` holds what happens to the next writes."""
+    """A store in memory; `faults` holds the faults of the next writes.
+
+    A fault is "down" (refused), "lease" (the lease has ended), "lost"
+    (applied without a response) or "" for none.
+    """
 
     def __init__(self):
         self.entries_by_key = {}
@@ -80,11 +84,15 @@
 
 
 @pytest.fixture
-def play(run_virtual, monkeypatch):
-    """Return what runs a scenario with a store and a directory."""
+def run_scenario(run_virtual, monkeypatch):
+    """Return a function that runs a scenario with a store and a directory.
+
+    Its `refuses` says whether the address of a replica refuses connections.
+    `refuses_after_s`, if given, is how long the real check takes to find it.
+    """
 
     def run(scenario, refuses=True, refuses_after_s=None):
-        async def look(address):
+        async def refuses_connections(address):
             return refuses
 
         async def open_(address, timeout_s):
@@ -94,7 +102,9 @@
             raise client.call_error("no connection") from cause
 
         if refuses_after_s is None:
-            monkeypatch.setattr(crash_tracker, "_refuses_connections", look)
+            monkeypatch.setattr(
+                crash_tracker, "_refuses_connections", refuses_connections
+            )
         else:
             monkeypatch.setattr(client.Connection, "open", open_)
 
@@ -114,7 +124,7 @@
     return run
 
 
-def test_an_end_is_told_under_a_lease_that_outlasts_it(play):
+def test_a_crash_is_written_under_a_lease_as_long_as_its_pause(run_scenario):
     async def scenario(tracker, store, directory):
         await tracker.note_cut("f1", REPLICA)
         await tracker.note_cut("f2", REPLICA)
@@ -122,26 +132,32 @@
         assert store.written() == ["f1", "f2"]
         assert store.leases == [quarantines.LONG_PAUSE_S]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_replica_that_still_listens_counts_only_once_it_is_gone(play):
+def test_a_replica_that_still_listens_counts_as_crashed_once_it_is_gone(
+    run_scenario,
+):
     async def scenario(tracker, store, directory):
         await tracker.note_cut("f1", REPLICA)
         assert not tracker.is_suspect("f1")
-        directory.lose()
+        directory.remove()
         assert tracker.is_suspect("f1")
 
-    play(scenario, refuses=False)
+    run_scenario(scenario, refuses=False)
+
 
+def test_a_replica_that_refuses_late_still_counts_as_crashed(run_scenario):
+    """Guards against a missed crash on a busy VM.
 
-def test_a_replica_that_refuses_late_counts_all_the_same(play):
-    """On a busy VM an end passed for a cut, as the look took too long."""
+    The check took longer than the wait for it, and the crash was taken for a
+    broken connection.
+    """
 
     async def scenario(tracker, store, directory):
-        began_at = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         await tracker.note_cut("f1", REPLICA)
-        took_s = asyncio.get_running_loop().time() - began_at
+        took_s = asyncio.get_running_loop().time() - started_at
         assert took_s == pytest.approx(crash_tracker.CRASH_CHECK_WAIT_S)
         assert not tracker.is_suspect("f1")
         await asyncio.sleep(crash_tracker.CRASH_CHECK_WAIT_S)
@@ -149,11 +165,13 @@
         await asyncio.sleep(1.0)
         assert store.written() == ["f1"]
 
-    play(scenario, refuses_after_s=1.5 * crash_tracker.CRASH_CHECK_WAIT_S)
+    run_scenario(
+        scenario, refuses_after_s=1.5 * crash_tracker.CRASH_CHECK_WAIT_S
+    )
 
 
 @pytest.mark.parametrize("fault", ["down", "lost", "lease"])
-def test_an_end_is_told_once_the_store_takes_it(play, fault):
+def test_a_crash_is_written_once_the_store_accepts_it(run_scenario, fault):
     async def scenario(tracker, store, directory):
         store.faults = [fault] * 30
         await tracker.note_cut("f1", REPLICA)
@@ -161,10 +179,10 @@
         assert store.written() == ["f1"]
         assert not tracker._unwritten_by_replica
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_shows_after_a_write_is_added_to_it(play):
+def test_a_request_found_after_a_write_is_added_to_the_key(run_scenario):
     async def scenario(tracker, store, directory):
         await tracker.note_cut("f1", REPLICA)
         await asyncio.sleep(1.0)
@@ -172,10 +190,10 @@
         await asyncio.sleep(1.0)
         assert store.written() == ["f1", "f2"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_others_tell_holds_a_request_back_here(play):
+def test_crashes_that_other_entries_wrote_hold_a_request_back(run_scenario):
     async def scenario(tracker, store, directory):
         for replica_id, vm_id in (("r0", "entry-2"), ("r1", "entry-3")):
             key = crash_tracker.own_key(replica_id, vm_id)
@@ -188,14 +206,14 @@
         tracker.load({entry.key: entry})
         assert tracker.wait_s("f1") == quarantines.LONG_PAUSE_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_is_told_directly_counts_as_if_the_store_told_it(play):
+def test_a_crash_counts_once_if_notified_and_read_from_the_store(run_scenario):
     async def scenario(tracker, store, directory):
-        told = [("r0", ("f1",)), ("r1", ("f1",))]
+        crashes = [("r0", ("f1",)), ("r1", ("f1",))]
         request = types.SimpleNamespace(
-            path=crash_notifier.TARGET, body=cbor2.dumps(told)
+            path=crash_notifier.TARGET, body=cbor2.dumps(crashes)
         )
         for _ in range(2):
             await tracker.answer(request, _Responder())
@@ -205,29 +223,29 @@
         await asyncio.sleep(1.0)
         assert not store.entries_by_key
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_pause_does_not_begin_anew_at_an_entry_that_starts(play):
+def test_a_pause_does_not_restart_at_an_entry_that_starts(run_scenario):
     async def scenario(tracker, store, directory):
         tracker._learn_known(quarantines.KnownCrashes("f1", ("r1", "r2"), 3.0))
         assert tracker.wait_s("f1") == quarantines.SHORT_PAUSE_S - 3.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
     "value", [b"", b"\xff", cbor2.dumps({"a": 1}), cbor2.dumps(["r", [7]])]
 )
-def test_what_can_not_be_understood_is_left_out(play, value):
+def test_unreadable_values_are_ignored(run_scenario, value):
     async def scenario(tracker, store, directory):
         tracker.change(keyvalue.Change(KEY, value, 9))
         assert tracker.is_empty
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_keys_are_short_however_long_an_id_is():
+def test_keys_are_short_for_ids_of_any_length():
     one = crash_tracker.own_key("r" * 180, "vm" * 90)
 
     assert len(one) < 100
--- a/packages/gateway/tests/test_tasks.py
+++ b/packages/gateway/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""How tasks are ended."""
+"""Tests how tasks are cancelled."""
 
 import asyncio
 
@@ -10,15 +10,18 @@
 
 @pytest.fixture
 def lines():
-    """Return what is logged."""
+    """Return the list that log lines are added to."""
     found = []
     eliot.add_destinations(found.append)
     yield found
     eliot.remove_destination(found.append)
 
 
-def test_a_task_that_had_failed_leaves_a_line(lines):
-    """A part that had failed long ago was stopped without a word."""
+def test_a_task_that_had_failed_is_logged(lines):
+    """Guards against a failure that is never logged.
+
+    The task had failed long before it was stopped.
+    """
 
     async def fail():
         raise KeyError("gone")
--- a/packages/gateway/tests/test_trials.py
+++ b/packages/gateway/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""Who may try a request that ended replicas, in virtual time."""
+"""Tests which entry may try a request that crashed replicas."""
 
 import asyncio
 import types
@@ -20,12 +20,12 @@
 
 
 class _Pool:
-    """Stands for the way to the other entries."""
+    """Delivers calls to the `Trials` of other entries, or fails them."""
 
     def __init__(self, trials_by_vm):
         self._trials_by_vm = trials_by_vm
         self.is_cut = False
-        # What each entry knows of the others.
+        # The entries that each entry has in its list.
         self.cluster_states_by_vm = {
             vm_id: types.SimpleNamespace(addresses_by_vm=dict(ADDRESSES_BY_VM))
             for vm_id in ADDRESSES_BY_VM
@@ -34,9 +34,9 @@
     async def call(self, key, address, request, timeout_s, max_bytes):
         await asyncio.sleep(0.001)
         if self.is_cut:
-            raise client.call_error("no answer")
-        asked = trials.read(request.body)
-        wait_s = self._trials_by_vm[key].decide(asked)
+            raise client.call_error("no response")
+        trial_request = trials.read(request.body)
+        wait_s = self._trials_by_vm[key].decide(trial_request)
         return messages.Reply(200, ()), cbor2.dumps(wait_s)
 
     def close(self):
@@ -44,8 +44,11 @@
 
 
 @pytest.fixture
-def play(run_virtual, monkeypatch):
-    """Return what runs a scenario with entries that know two ends."""
+def run_scenario(run_virtual, monkeypatch):
+    """Return a function that runs a scenario in virtual time.
+
+    All entries have recorded two crashes, and the pause after them is over.
+    """
 
     def run(scenario):
         async def body():
@@ -72,7 +75,9 @@
 
 
 @pytest.mark.parametrize("first", [DECIDER, OTHERS[0]])
-def test_one_entry_tries_and_the_others_wait_until_it_is_done(play, first):
+def test_one_entry_tries_and_the_others_wait_until_it_is_done(
+    run_scenario, first
+):
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
         async with trials_by_vm[first].trial("f") as wait_s:
             assert wait_s == 0
@@ -83,11 +88,14 @@
         async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s == 0
 
-    play(scenario)
+    run_scenario(scenario)
+
 
+def test_a_trial_is_still_recorded_when_one_decider_is_replaced(run_scenario):
+    """Guards against two trials at once after a decider has left.
 
-def test_a_decider_that_is_replaced_leaves_one_that_knows_the_trial(play):
-    """Its successor knew of no trial and had the request tried twice."""
+    Its successor has no record of the trial and would grant another.
+    """
 
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
         async with trials_by_vm[OTHERS[0]].trial("f") as wait_s:
@@ -101,13 +109,18 @@
         async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("unknown", ADDRESSES_BY_VM)
 @pytest.mark.parametrize("first", OTHERS)
-def test_entries_whose_lists_differ_do_not_try_at_once(play, unknown, first):
-    """One did not know the newest entry yet; each asked another decider."""
+def test_entries_with_different_lists_do_not_try_at_the_same_time(
+    run_scenario, unknown, first
+):
+    """Guards against two trials at once while a new entry becomes known.
+
+    An entry without the newest one in its list asks other deciders.
+    """
 
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
         del pool.cluster_states_by_vm[OTHERS[1]].addresses_by_vm[unknown]
@@ -117,18 +130,18 @@
         )
         assert waits.count(0) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def _wait_s(one, took_s):
-    """Return how long an entry must wait to try, or try for `took_s`."""
+    """Request a trial and run it for `took_s` if granted; return the wait."""
     async with one.trial("f") as wait_s:
         if not wait_s:
             await asyncio.sleep(took_s)
         return wait_s
 
 
-def test_what_a_trial_ended_is_known_before_the_next_one(play):
+def test_a_crash_in_a_trial_is_recorded_before_the_next_trial(run_scenario):
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
         async with trials_by_vm[OTHERS[0]].trial("f"):
             now = asyncio.get_running_loop().time()
@@ -137,10 +150,10 @@
         async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s > PAUSE_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_entry_that_can_not_ask_does_not_try(play):
+def test_an_entry_that_reaches_no_decider_does_not_try(run_scenario):
     async def scenario(trials_by_vm, quarantine_by_vm, pool):
         pool.is_cut = True
         async with trials_by_vm[OTHERS[0]].trial("f") as wait_s:
@@ -149,4 +162,4 @@
         async with trials_by_vm[OTHERS[1]].trial("f") as wait_s:
             assert wait_s == 0
 
-    play(scenario)
+    run_scenario(scenario)
