--- a/packages/gateway/anvilwell_gateway/attempts.py
+++ b/packages/gateway/anvilwell_gateway/attempts.py
@@ -176,6 +176,10 @@
         return len(self.tried_replica_ids) - self._not_reached
 
     def _hedge_s(self, tasks):
+        """Return the delay before a hedge, in seconds, None for no hedge.
+
+        A suspect request is never hedged, since it could crash both replicas.
+        """
         may_more = self._sent_count < self._route.max_replicas
         if not self._route.is_idempotent or not may_more or len(tasks) > 1:
             return None
@@ -227,6 +231,7 @@
 
     @property
     def _may_repeat(self):
+        """Whether another attempt is allowed after the ones so far."""
         not_run = self._verdict is verdicts.Verdict.NOT_RUN
         return self._is_repeatable or not_run
 
@@ -304,8 +309,9 @@
             verdict = error.verdict
             raise
         except asyncio.CancelledError:
-            # The attempt is cancelled because another one answered first. It
-            # failed if it took longer than the delay before a hedge.
+            # Cancelled by the response to another attempt, the deadline or
+            # the caller. It counts as failed if it has taken longer than the
+            # delay before a hedge.
             hedge_s = HEDGE_SHARE * self._route.target_latency_s
             failed = self._loop.time() - started_at > hedge_s
             raise
@@ -372,6 +378,10 @@
         )
 
     def _record_failure(self, error, replica_id):
+        """Log a failed attempt and combine its verdict with the others.
+
+        Errors that are not an `AnvilwellError` are raised.
+        """
         if not isinstance(error, exceptions.AnvilwellError):
             raise error
         self._last_error = error
--- a/packages/gateway/anvilwell_gateway/crash_notifier.py
+++ b/packages/gateway/anvilwell_gateway/crash_notifier.py
@@ -26,12 +26,12 @@
 # as an entry that is unreachable from here may still serve callers.
 RETRY_DELAYS_S = (0.25, 0.5, 1.0, 2.0, 4.0)
 # Limit of the crashes that are kept for entries which lack them; the oldest
-# are dropped first. It holds the replicas of some racks.
+# are dropped first. It covers all replicas of several racks.
 MAX_PENDING_CRASHES = 256
 
 
 class Crash(typing.NamedTuple):
-    """A replica that crashed, and the requests that it cut by that."""
+    """A replica that crashed, and the requests that it was answering."""
 
     replica_id: str
     fingerprints: tuple[str, ...]
@@ -81,7 +81,7 @@
     vm_id : str
         The id of this VM, which is not notified.
     cluster_state : cluster_state.ClusterState
-        The entries that live, and where.
+        The live entries and their addresses.
     """
 
     def __init__(self, vm_id, cluster_state):
--- a/packages/gateway/anvilwell_gateway/crash_tracker.py
+++ b/packages/gateway/anvilwell_gateway/crash_tracker.py
@@ -97,7 +97,7 @@
         await tasks.stop(self._writer_task, *self._checks)
 
     def entries_changed(self):
-        """Notify and query the entries that have come since."""
+        """Notify and query new entries; called when the live ones change."""
         self._notifier.entries_changed()
         self._crash_sync.entries_changed()
 
@@ -130,9 +130,9 @@
     def is_item_held_back(self, fingerprint):
         """Return whether `PROVEN_CRASHES` hold an item of a batch back.
 
-        Items are held back later than live calls: one of many engines is
-        worth less than the training step that an item loses by the short
-        pause of five seconds.
+        Live calls are held back after fewer crashes. The short pause of five
+        seconds would cost an item its training step, which is worth more
+        than one of many engines.
         """
         wait_s = self._quarantine.wait_s(
             fingerprint, self._loop.time(), quarantines.PROVEN_CRASHES
@@ -186,6 +186,7 @@
             self._read_record(change.key, change.value)
 
     def _read_record(self, key, value):
+        """Decode the crash in a store value, and add it to the quarantine."""
         try:
             crash = _CRASH.validate_python(cbor2.loads(value))
         except (cbor2.CBORError, ValueError) as error:
@@ -275,10 +276,10 @@
         Raises
         ------
         exceptions.Conflict
-            If a write before was applied without an answer; the next one
-            uses the revisions that this one read.
+            If an earlier write was applied though its response was lost. The
+            next write uses the revisions that this one read.
         exceptions.NotFound
-            If the lease has ended; the next write takes another.
+            If the lease has ended. The next write takes another.
         """
         written_by_replica = {
             replica_id: self._written_by_replica.get(replica_id, frozenset())
@@ -311,7 +312,10 @@
                 del self._unwritten_by_replica[replica_id]
 
     async def _ensure_lease(self):
-        """Return a lease with at least half its time left; none is renewed."""
+        """Return a lease with at least half its time left.
+
+        Leases are not renewed; each one holds the keys of several crashes.
+        """
         now = self._loop.time()
         if now > self._lease_until:
             self._lease = await self._store.grant(quarantines.LONG_PAUSE_S)
--- a/packages/gateway/anvilwell_gateway/fair_sharing.py
+++ b/packages/gateway/anvilwell_gateway/fair_sharing.py
@@ -61,10 +61,10 @@
         if not self._configuration.organisations.are_known:
             yield
             return
-        kept = self._shares_by_service[attempt.service]
+        service_shares = self._shares_by_service[attempt.service]
         now = asyncio.get_running_loop().time()
         weight = self._weight(attempt.priority)
-        if not kept.begin(attempt.organisation, now, weight):
+        if not service_shares.begin(attempt.organisation, now, weight):
             raise exceptions.Refused(
                 "the organisation uses its whole share of the slots",
                 reason=reasons.Refusal.OVER_SHARE,
@@ -74,23 +74,23 @@
             yield
             is_answered = True
         finally:
-            kept.end(attempt.organisation, is_answered)
+            service_shares.end(attempt.organisation, is_answered)
 
     def record_refusal(self, replica):
         """Record that a replica refused a call for lack of capacity."""
         if not self._configuration.organisations.are_known:
             return
-        kept = self._shares_by_service[replica.service]
-        was_short = kept.limit is not None
-        kept.refused(
+        service_shares = self._shares_by_service[replica.service]
+        was_short = service_shares.limit is not None
+        service_shares.refused(
             replica.replica_id,
             len(self._directory.usable(replica.service)),
             asyncio.get_running_loop().time(),
         )
-        if kept.limit is not None and not was_short:
+        if service_shares.limit is not None and not was_short:
             _LOG.log(
                 "places-short",
                 service=replica.service,
-                under_way=kept.total,
-                limit=round(kept.limit, 1),
+                under_way=service_shares.total,
+                limit=round(service_shares.limit, 1),
             )
--- a/packages/gateway/anvilwell_gateway/forwarding.py
+++ b/packages/gateway/anvilwell_gateway/forwarding.py
@@ -84,15 +84,15 @@
         return attempts.Attempts(self, route, call, request)
 
     async def forward(self, route, call, request, responder):
-        """Send `request` to replicas and return one whole response."""
+        """Send `request` to replicas and one whole response to the caller."""
         attempt = self.attempts(route, call, request)
         try:
             with self._fair_sharing.admit(attempt):
                 response = await attempt.run()
         except exceptions.AnvilwellError as error:
-            await self._fail(attempt, route, call, error, responder)
+            await self._send_failure(attempt, route, call, error, responder)
             return
-        self._answered(attempt, route, response.status)
+        self._record_response(attempt, route, response.status)
         fields = self._fields(attempt, route, call)
         _LOG.routine("request-answered", status=response.status, **fields)
         headers = messages.end_to_end(response.headers)
@@ -108,9 +108,9 @@
             if responder.has_started:
                 self._log_cut(attempt, route, call, error)
                 raise
-            await self._fail(attempt, route, call, error, responder)
+            await self._send_failure(attempt, route, call, error, responder)
             return
-        self._answered(attempt, route, responder.status)
+        self._record_response(attempt, route, responder.status)
         fields = self._fields(attempt, route, call)
         _LOG.routine("stream-answered", status=responder.status, **fields)
 
@@ -135,7 +135,7 @@
             "took_s": round(attempt.age_s(), 4),
         }
 
-    async def _fail(self, attempt, route, call, error, responder):
+    async def _send_failure(self, attempt, route, call, error, responder):
         not_run = error.verdict is verdicts.Verdict.NOT_RUN
         is_late = error.reason is reasons.Refusal.DEADLINE
         status = 503 if not_run else 504 if is_late else 502
@@ -165,7 +165,7 @@
             return schedule.wait_s(now, attempt.remaining_s)
         return error.retry_after or retry_after.MIN_WAIT_S
 
-    def _answered(self, attempt, route, status):
+    def _record_response(self, attempt, route, status):
         now = asyncio.get_running_loop().time()
         self._retry_schedules_by_service[attempt.service].answered(now)
         self._measure(attempt, route, status)
--- a/packages/gateway/anvilwell_gateway/frontend.py
+++ b/packages/gateway/anvilwell_gateway/frontend.py
@@ -66,7 +66,7 @@
         self._aborter = aborting.RequestAborter(self._server)
         self._is_draining = False
         self._started_at = asyncio.get_running_loop().time()
-        fleet.configuration.listen(self._configured)
+        fleet.configuration.listen(self._apply_limits)
 
     @property
     def in_flight(self):
@@ -110,7 +110,7 @@
         await aborting.RequestAborter(self._health).abort()
         await self._health.stop()
 
-    def _configured(self):
+    def _apply_limits(self):
         self._server.limits = self._fleet.configuration.current.limits
 
     def _is_ready(self):
@@ -173,8 +173,8 @@
     async def _wait_for(self, is_ready):
         """Wait until `is_ready()`, if this process has only just started.
 
-        Returns after `STARTUP_WAIT_S` at the latest, or `STARTUP_S` after
-        the start; the caller of this method checks the state again.
+        Waits for `STARTUP_WAIT_S` at most, and not beyond `STARTUP_S` after
+        the start. Callers of this method check the state again.
         """
         loop = asyncio.get_running_loop()
         startup_ends_at = self._started_at + STARTUP_S
--- a/packages/gateway/anvilwell_gateway/http/server.py
+++ b/packages/gateway/anvilwell_gateway/http/server.py
@@ -36,7 +36,7 @@
 
 
 class CallerGone(exceptions.AnvilwellError):
-    """The caller closed its connection."""
+    """The caller's connection was closed before the response was complete."""
 
     reason = reasons.Refusal.CANCELLED
 
@@ -81,16 +81,16 @@
         Until then its bytes count against the budget.
         """
         self._budget.hold(len(data))
-        left = len(data)
+        unwritten = len(data)
         try:
             for start in range(0, len(data), WRITE_BYTES):
                 part = data[start : start + WRITE_BYTES]
                 self._writer.write(self._conn.send(h11.Data(data=part)))
                 await self._writer.drain()
                 self._budget.release(len(part))
-                left -= len(part)
+                unwritten -= len(part)
         finally:
-            self._budget.release(left)
+            self._budget.release(unwritten)
 
     async def finish(self):
         """Send the end of the response."""
@@ -141,12 +141,15 @@
         return sum(one.is_serving for one in self._connections)
 
     async def start(self):
-        """Bind and listen."""
-        place = {"host": self._address.host, "port": self._address.port}
+        """Bind to the address, or use the listener given, and accept."""
+        bind_options = {"host": self._address.host, "port": self._address.port}
         if self._socket:
-            place = {"sock": self._socket}
+            bind_options = {"sock": self._socket}
         self._listener = await asyncio.start_server(
-            self._accept, backlog=listening.BACKLOG, limit=READ_BYTES, **place
+            self._accept,
+            backlog=listening.BACKLOG,
+            limit=READ_BYTES,
+            **bind_options,
         )
 
     async def finish(self):
@@ -210,7 +213,7 @@
         self._writer = writer
         self._held_bytes = 0
         # The timeout of the read in progress, if there is one.
-        self._limit = None
+        self._read_timeout = None
         self.is_serving = False
         self.task = None
         self._conn = h11.Connection(
@@ -231,9 +234,9 @@
 
     def end_idle(self):
         """Stop waiting for a request, unless one is being served."""
-        is_waiting = self._limit and not self._limit.expired()
+        is_waiting = self._read_timeout and not self._read_timeout.expired()
         if is_waiting and not self.is_serving:
-            self._limit.reschedule(asyncio.get_running_loop().time())
+            self._read_timeout.reschedule(asyncio.get_running_loop().time())
 
     async def _serve_one(self):
         """Serve one request; return whether another may follow."""
@@ -265,11 +268,12 @@
         )
 
     def _caller(self):
-        """Return the IP address of the other side."""
+        """Return the caller's IP address, "" if unknown."""
         peer = self._writer.get_extra_info("peername")
         return peer[0] if peer else ""
 
     async def _read_head(self):
+        """Return the head of the next request, or None if there is none."""
         limits = self._server.limits
         timeout_s = limits.idle_timeout_s
         while True:
@@ -328,14 +332,14 @@
     async def _receive(self, timeout_s):
         """Feed received bytes to the parser; return False on a timeout."""
         try:
-            async with asyncio.timeout(timeout_s) as self._limit:
+            async with asyncio.timeout(timeout_s) as self._read_timeout:
                 data = await self._reader.read(READ_BYTES)
         except TimeoutError:
             data = await self._read_pending()
             if not data:
                 return False
         finally:
-            self._limit = None
+            self._read_timeout = None
         self._conn.receive_data(data)
         return True
 
--- a/packages/gateway/anvilwell_gateway/streams.py
+++ b/packages/gateway/anvilwell_gateway/streams.py
@@ -130,7 +130,7 @@
         reply = None
         try:
             connection = await self._forwarder.connect(replica)
-            reply = await self._head(connection, replica)
+            reply = await self._read_head(connection, replica)
             if reply.status >= 300:
                 body = await connection.read_body(MAX_FAILURE_BYTES)
                 is_whole = True
@@ -156,7 +156,7 @@
                 connection.close()
             self._record_end(replica, started_at, failed)
 
-    async def _head(self, connection, replica):
+    async def _read_head(self, connection, replica):
         async with asyncio.timeout(self._stall_s()):
             return await self._forwarder.send_request(
                 connection,
@@ -168,7 +168,11 @@
             )
 
     def _stall_s(self):
-        """Return the longest allowed pause, in seconds, or None for any."""
+        """Return how long a replica may pause, in seconds, None for no limit.
+
+        Only resumable streams have a limit, as others can't be continued at
+        another replica.
+        """
         if not self._route.is_resumable:
             return None
         if self._responder.has_started:
@@ -192,7 +196,7 @@
                 await self._send_events(connection, reply, whole + end)
         if buffered.strip():
             raise client.call_error(
-                "the stream ends within an event", reasons.Refusal.ANSWER_CUT
+                "the stream ended inside an event", reasons.Refusal.ANSWER_CUT
             )
         await self._begin(reply)
         await self._responder.finish()
@@ -204,7 +208,7 @@
             await self._responder.start(reply.status, kept)
 
     async def _send_events(self, connection, reply, data):
-        """Send whole events to the caller; raise if a number is missing.
+        """Send whole events to the caller after a check of their numbers.
 
         Raises
         ------
--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -25,6 +25,7 @@
 from anvilwell_kernel.telemetry import logs
 
 TARGET = "/trials"
+# Number of entries that record the trial of a request.
 DECIDERS = 2
 # An entry answers within milliseconds, and the caller is waiting.
 LIMITS = peer_calls.CallLimits(timeout_s=0.2, max_bytes=4 << 10)
@@ -68,7 +69,7 @@
     vm_id : str
         The id of this VM.
     cluster_state : cluster_state.ClusterState
-        The entries that live, and where.
+        The live entries and their addresses.
     quarantine : quarantine.Quarantine
         The replicas that crashed under each request.
     """
--- a/packages/gateway/tests/test_crash_notifier.py
+++ b/packages/gateway/tests/test_crash_notifier.py
@@ -135,7 +135,7 @@
     run_scenario(scenario)
 
 
-def test_notifications_of_old_crashes_are_abandoned(run_scenario):
+def test_old_crashes_are_no_longer_sent_to_a_silent_entry(run_scenario):
     async def scenario(notifier, pool, cluster_state):
         pool.failures = 1 << 20
         notifier.notify(CRASH)
--- a/packages/gateway/tests/test_crash_tracker.py
+++ b/packages/gateway/tests/test_crash_tracker.py
@@ -39,7 +39,7 @@
 
 
 class _Store:
-    """A store in memory; `faults` holds the faults of the next writes.
+    """An in-memory store; `faults` holds the faults of the next writes.
 
     A fault is "down" (refused), "lease" (the lease has ended), "lost"
     (applied without a response) or "" for none.
