--- a/packages/gateway/anvilwell_gateway/admission.py
+++ b/packages/gateway/anvilwell_gateway/admission.py
@@ -101,7 +101,7 @@
 
     def _anonymous(self, request, sender):
         return request._replace(
-            headers=self._dialect.anonymous(request.headers),
+            headers=self._dialect.without_identity(request.headers),
             organisation=sender.name if sender else "",
         )
 
--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -8,37 +8,37 @@
 
 from anvilwell_decisions.batches import loading
 from anvilwell_decisions.traffic import facts
-from anvilwell_gateway import claims
 from anvilwell_gateway import cluster_state
+from anvilwell_gateway import engine_claims
 from anvilwell_gateway import engine_listing
 from anvilwell_gateway import measures
 from anvilwell_gateway import metrics_page
-from anvilwell_gateway import moving
 from anvilwell_gateway import neighbours
 from anvilwell_gateway import notices
 from anvilwell_gateway import tasks
-from anvilwell_gateway import versions
+from anvilwell_gateway import version_loading
+from anvilwell_gateway import wanted_versions
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
 # Between the calls that show whether the store is there, in seconds. A
 # version is to be in force two seconds after it was named.
-PING_S = 1.0
+PING_INTERVAL_S = 1.0
 # Between looks whether a ping is due: the first is at once when the entry
 # that tells what changes says that it lost the store.
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 # A ping that was answered so lately shows that the store is there.
-ANSWERED_S = 0.5
+PING_FRESHNESS_S = 0.5
 # Versions are followed at the store itself if no entry is known by then.
-FIRST_WAIT_S = 0.5
+ENTRY_WAIT_S = 0.5
 # Between looks whether the engine lost a version, by a restart or an order
 # that was carried out late. Its own VM is answered for free.
-WATCH_S = 1.0
+ENGINE_CHECK_INTERVAL_S = 1.0
 # Between looks whether engines have gone that keep the models which this one
 # does not, in seconds. They are seldom all gone at once; until the next
 # version is named, nobody else would have theirs. The registrations are read
 # for that only if they were not for a version named meanwhile.
-KEEPERS_S = 5.0
+KEEPER_CHECK_INTERVAL_S = 5.0
 
 _LOG = logs.get_logger(__name__)
 
@@ -61,38 +61,40 @@
         self._engine = platform.engine_at(settings.agent.backend)
         self._store = platform.store
         self._store_path = platform.store_path
-        self._versions = versions.Versions(platform.store, platform.codec)
+        self._versions = wanted_versions.WantedVersions(
+            platform.store, platform.codec
+        )
         self._peers = cluster_state.EntryFollower(
             platform.store, self._entries_changed
         )
-        self._mover = moving.Mover(
+        self._loader = version_loading.VersionLoader(
             self._engine,
             self._backend,
             self._vm_id,
-            claims.Claims(platform.store, self._vm_id),
+            engine_claims.EngineClaims(platform.store, self._vm_id),
             self._versions,
         )
-        self._life = None
-        self._seen_by_model = {}
+        self._engine_incarnation = None
+        self._loaded_by_model = {}
         # An agent holds no lease: whether it is in touch shows in a ping.
-        self._pinged_at = float("-inf")
+        self._answered_at = float("-inf")
         self._neighbours = neighbours.Neighbours(
             self._vm_id,
             settings.daemon.failure_domain,
-            self._is_answered,
+            self._has_answered_recently,
             str(self._backend),
         )
         self._metrics = metrics_page.MetricsPage(
             settings.metrics, self._gauge_values
         )
         self._tasks = []
-        self._moves_by_model = {}
+        self._load_tasks_by_model = {}
         self._notice_sender = notices.NoticeSender()
-        self._telling = set()
-        self._loading = set()
+        self._notice_tasks = set()
+        self._loading_models = set()
         self._lags_by_model = {}
         # The models that other engines keep.
-        self._left_out = set()
+        self._models_kept_elsewhere = set()
         self._listing = engine_listing.EngineListing(
             platform.store, platform.codec, settings.agent.service
         )
@@ -105,23 +107,23 @@
             asyncio.create_task(self._follow_versions()),
             asyncio.create_task(self._run()),
             asyncio.create_task(self._ping()),
-            asyncio.create_task(self._watch_engine()),
-            asyncio.create_task(self._watch_keepers()),
+            asyncio.create_task(self._check_engine()),
+            asyncio.create_task(self._check_keepers()),
         ]
 
     async def _follow_versions(self):
         """Follow by an entry from the start, if there is one."""
-        await self._neighbours.wait_for_entry(FIRST_WAIT_S)
+        await self._neighbours.wait_for_entry(ENTRY_WAIT_S)
         self._versions.start(self._neighbours)
 
     async def drain(self):
         """Give no order any more."""
-        moves = self._moves_by_model.values()
-        await tasks.stop(*self._tasks, *moves, *self._telling)
+        loads = self._load_tasks_by_model.values()
+        await tasks.stop(*self._tasks, *loads, *self._notice_tasks)
         await self._peers.stop()
         await self._versions.stop()
 
-    async def cut(self):
+    async def abort(self):
         """Do nothing: nobody waits for an agent's answer."""
 
     async def stop(self):
@@ -148,22 +150,22 @@
         """
         pinged_at = float("-inf")
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if (
                 self._versions.is_fed_by_neighbour
-                or self._clock() - pinged_at < PING_S
+                or self._clock() - pinged_at < PING_INTERVAL_S
             ):
                 continue
             pinged_at = self._clock()
             try:
                 await self._store.ping()
-                self._pinged_at = self._clock()
+                self._answered_at = self._clock()
             except exceptions.AnvilwellError as error:
                 _LOG.log("store-not-reached", cause=error.message)
 
-    def _is_answered(self):
+    def _has_answered_recently(self):
         """Return whether the store answers this process."""
-        return self._clock() - self._pinged_at < ANSWERED_S
+        return self._clock() - self._answered_at < PING_FRESHNESS_S
 
     def _entries_changed(self, live):
         """Take in which entries are there: for notices, news and help."""
@@ -176,22 +178,22 @@
     async def _run(self):
         """Have one task for each model whose version has changed."""
         while True:
-            await self._versions.news.wait()
-            self._versions.news.clear()
-            self._move_all()
+            await self._versions.changed.wait()
+            self._versions.changed.clear()
+            self._load_all()
 
-    def _move_all(self):
+    def _load_all(self):
         """Have one task for each model that may be behind."""
-        self._move_each(self._versions.wanted_by_model)
+        self._load_each(self._versions.wanted_by_model)
 
-    def _move_each(self, models):
+    def _load_each(self, models):
         for model in models:
-            known = self._moves_by_model.get(model)
-            if known is None or known.done():
-                move = asyncio.create_task(self._move(model))
-                self._moves_by_model[model] = move
+            existing = self._load_tasks_by_model.get(model)
+            if existing is None or existing.done():
+                task = asyncio.create_task(self._load(model))
+                self._load_tasks_by_model[model] = task
 
-    async def _watch_engine(self):
+    async def _check_engine(self):
         """Move the engine again after it has lost a version.
 
         An order without an answer may be carried out seconds later. If the
@@ -199,13 +201,13 @@
         many orders as the late one expects, nothing else guards it.
         """
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(ENGINE_CHECK_INTERVAL_S)
             try:
                 report = await self._engine.report()
             except exceptions.AnvilwellError as error:
                 _LOG.routine("engine-unreachable", cause=error.message)
                 continue
-            before = self._seen_by_model
+            before = self._loaded_by_model
             if self._has_lost(report):
                 _LOG.log(
                     "engine-went-back",
@@ -213,27 +215,29 @@
                     versions=report.version_by_model,
                     before=before,
                 )
-                self._move_all()
+                self._load_all()
 
-    async def _watch_keepers(self):
+    async def _check_keepers(self):
         """Move the engine to what others kept once it is to keep that."""
         while True:
-            await asyncio.sleep(KEEPERS_S)
-            if not self._left_out:
+            await asyncio.sleep(KEEPER_CHECK_INTERVAL_S)
+            if not self._models_kept_elsewhere:
                 continue
             addresses = self._listing.addresses
-            if self._listing.age_s > KEEPERS_S:
+            if self._listing.age_s > KEEPER_CHECK_INTERVAL_S:
                 addresses = await self._addresses()
             if addresses:
                 kept = {
                     model
-                    for model in self._left_out
-                    if self._place(model, self._seen_by_model, addresses)
+                    for model in self._models_kept_elsewhere
+                    if self._load_position(
+                        model, self._loaded_by_model, addresses
+                    )
                 }
-                self._left_out -= kept
-                self._move_each(kept)
+                self._models_kept_elsewhere -= kept
+                self._load_each(kept)
 
-    def _place(self, model, version_by_model, addresses):
+    def _load_position(self, model, version_by_model, addresses):
         """Return the engine's `loading.LoadPosition` for a model."""
         wanted = set(self._versions.wanted_by_model)
         models = wanted.intersection(version_by_model)
@@ -241,44 +245,46 @@
 
     def _has_lost(self, report):
         """Take in a report; return whether its engine lost a version."""
-        life = (report.replica_id, report.started_ms)
-        is_other = self._life not in (None, life)
+        incarnation = (report.replica_id, report.started_ms)
+        is_other = self._engine_incarnation not in (None, incarnation)
         is_behind = any(
-            version < self._seen_by_model.get(model, 0)
+            version < self._loaded_by_model.get(model, 0)
             for model, version in report.version_by_model.items()
         )
-        self._life = life
-        self._seen_by_model = dict(report.version_by_model)
+        self._engine_incarnation = incarnation
+        self._loaded_by_model = dict(report.version_by_model)
         return is_other or is_behind
 
     async def _addresses(self):
         """Return the addresses of all engines of the service."""
         return await self._listing.find(self._notice_sender.engine_digest)
 
-    async def _move(self, model):
+    async def _load(self, model):
         """Order until each version wanted is there or skipped."""
-        settled = 0
-        while settled < self._versions.wanted_by_model[model]:
-            settled = self._versions.wanted_by_model[model]
-            wait_s = await self._wait_s(model)
+        settled_version = 0
+        while settled_version < self._versions.wanted_by_model[model]:
+            settled_version = self._versions.wanted_by_model[model]
+            wait_s = await self._load_delay_s(model)
             if wait_s is None:
                 continue
             await asyncio.sleep(wait_s)
-            report = await self._mover.move(
+            report = await self._loader.load(
                 model,
                 lambda: True,
-                lambda ordered: self._ordered(model, ordered),
+                lambda ordered: self._announce_load(model, ordered),
+            )
+            settled_version = report.version_by_model.get(
+                model, settled_version
             )
-            settled = report.version_by_model.get(model, settled)
-            self._loading.discard(model)
+            self._loading_models.discard(model)
             await self._notice_sender.send(self._notice(report))
 
-    def _ordered(self, model, report):
+    def _announce_load(self, model, report):
         """Tell that the engine loads, from what it said before."""
-        self._loading.add(model)
+        self._loading_models.add(model)
         self._keep_task(self._notice_sender.send(self._notice(report)))
 
-    async def _wait_s(self, model):
+    async def _load_delay_s(self, model):
         """Return how long to wait before a load, None for no load now."""
         wanted = self._versions.wanted_by_model[model]
         try:
@@ -287,22 +293,24 @@
             _LOG.log("engine-unreachable", cause=error.message)
             return 0.0
         had = report.version_by_model.get(model, wanted)
-        learning = self._keep_task(self._learn_lag(model, wanted, report))
+        lag_task = self._keep_task(self._learn_lag(model, wanted, report))
         if had >= wanted:
-            self._left_out.discard(model)
+            self._models_kept_elsewhere.discard(model)
             return None
         addresses = await self._addresses()
         if model not in self._lags_by_model:
             # Without it all engines would load a trainer's first version:
             # 30 loads beyond the free ones in a day of 31 engines.
-            await learning
+            await lag_task
         lag = self._lags_by_model.get(model)
-        place = self._place(model, report.version_by_model, addresses)
-        if place is None:
-            self._left_out.add(model)
+        position = self._load_position(
+            model, report.version_by_model, addresses
+        )
+        if position is None:
+            self._models_kept_elsewhere.add(model)
         else:
-            self._left_out.discard(model)
-        wait_s = loading.load_delay_s(had, wanted, lag, place)
+            self._models_kept_elsewhere.discard(model)
+        wait_s = loading.load_delay_s(had, wanted, lag, position)
         if wait_s is None:
             _LOG.log(
                 "version-skipped",
@@ -310,8 +318,8 @@
                 version=wanted,
                 had=had,
                 lag=lag,
-                rank=place and place.rank,
-                replicas=place and place.replicas,
+                rank=position and position.rank,
+                replicas=position and position.replicas,
             )
         return wait_s
 
@@ -327,8 +335,8 @@
         )
         if model in min_versions_by_model:
             lag = max(0, wanted - min_versions_by_model[model])
-            known = self._lags_by_model.get(model, lag)
-            self._lags_by_model[model] = min(known, lag)
+            existing = self._lags_by_model.get(model, lag)
+            self._lags_by_model[model] = min(existing, lag)
 
     def _notice(self, report):
         """Return what the engine has, and what it loads."""
@@ -337,11 +345,11 @@
             for model, version in report.version_by_model.items()
         )
         address = str(self._backend)
-        loading_now = tuple(sorted(self._loading))
+        loading_now = tuple(sorted(self._loading_models))
         return notices.Notice(address, loaded, loading_now, report.started_ms)
 
     def _keep_task(self, coroutine):
         task = asyncio.create_task(coroutine)
-        self._telling.add(task)
-        task.add_done_callback(self._telling.discard)
+        self._notice_tasks.add(task)
+        task.add_done_callback(self._notice_tasks.discard)
         return task
--- a/packages/gateway/anvilwell_gateway/attempts.py
+++ b/packages/gateway/anvilwell_gateway/attempts.py
@@ -54,7 +54,7 @@
         Sends each attempt and provides the replicas.
     route : facts.Route
         Says which retries and hedges the request allows.
-    call : dialect.Call
+    call : dialect.RequestHead
         The caller's request id and limits, read from the headers.
     request : messages.Request
         The request.
--- a/packages/gateway/anvilwell_gateway/batches/manager.py
+++ b/packages/gateway/anvilwell_gateway/batches/manager.py
@@ -99,7 +99,7 @@
 
     async def newest_routes(self):
         """Return the routes that the store has now, in force from here on."""
-        await self._configuration.catch_up()
+        await self._configuration.refresh()
         return self.routes()
 
     def open(self, batch):
--- a/packages/gateway/anvilwell_gateway/batches/request_handler.py
+++ b/packages/gateway/anvilwell_gateway/batches/request_handler.py
@@ -173,7 +173,9 @@
             listed=found.listed,
             source=source,
         )
-        body = self._dialect.write_page(total, page, call.after + len(page))
+        body = self._dialect.encode_results_page(
+            total, page, call.after + len(page)
+        )
         await responder.send(200, (_JSON,), body)
 
     async def _own_page(self, results_request):
--- a/packages/gateway/anvilwell_gateway/batches/runner.py
+++ b/packages/gateway/anvilwell_gateway/batches/runner.py
@@ -107,7 +107,7 @@
         return ended
 
     async def _run(self, connection, order, replica, pace):
-        headers = self._dialect.to_replica(
+        headers = self._dialect.replica_headers(
             self._dialect.item_headers(order.item, order.host),
             replica.name,
             order.timeout_s,
@@ -117,7 +117,7 @@
         connection.send("POST", order.item.target, headers, order.item.body)
         async with asyncio.timeout(events.STALL_TIMEOUT_S):
             reply = await connection.read_head()
-        outcome = self._dialect.read_outcome(reply)
+        outcome = self._dialect.read_response_head(reply)
         if outcome.load:
             pace.record_load(outcome.load, asyncio.get_running_loop().time())
         ended = _judge(reply, outcome, order)
--- a/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
@@ -184,7 +184,7 @@
             asyncio.get_running_loop().time(),
             organisation=batch.submission.organisation,
         )
-        call = dialects.Call(scoring_call.call_id, limit_s)
+        call = dialects.RequestHead(scoring_call.call_id, limit_s)
         return self._forwarder.attempts(route, call, request)
 
     async def _seal(self, attempt, limiter):
@@ -197,4 +197,4 @@
             return "", error.message
         if answer.status >= 300:
             return "", f"status {answer.status}"
-        return self._dialect.read_outcome(answer).seal, ""
+        return self._dialect.read_response_head(answer).seal, ""
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -42,7 +42,7 @@
         self._fleet = fleet
         batch_store = records.BatchStore(fleet.store)
         self._owners = owners.Owners(fleet.store)
-        fleet.follow(self._owners)
+        fleet.add_follower(self._owners)
         homes = all_homes.Homes(
             fleet.cluster_state, fleet.directory, self._owners
         )
--- a/packages/gateway/anvilwell_gateway/configuration.py
+++ b/packages/gateway/anvilwell_gateway/configuration.py
@@ -16,12 +16,12 @@
     """Follows the configuration; its version never goes back."""
 
     def __init__(self, store, codec):
-        self._reading = None
+        self._reading_task = None
         super().__init__(store, codec.configuration_key)
         self._codec = codec
         self._newest = table.Newest()
         self._listeners = []
-        self._taken_at = 0.0
+        self._in_force_since = 0.0
         self.routes = table.RouteTable()
         self.organisations = organisations.Organisations()
 
@@ -38,14 +38,14 @@
         """Take the entry that is there now."""
         entry = entries_by_key.get(self._prefix)
         if entry is not None:
-            self._take(entry.value)
+            self._read(entry.value)
 
     def change(self, change):
         """Take a change of the entry."""
         if change.key == self._prefix and change.value is not None:
-            self._take(change.value)
+            self._read(change.value)
 
-    async def catch_up(self):
+    async def refresh(self):
         """Put in force what the store has now.
 
         Raises
@@ -57,15 +57,15 @@
         known = self._revisions_by_key.get(self._prefix, 0)
         if entry and entry.revision >= known:
             self._revisions_by_key[self._prefix] = entry.revision
-            self._take(entry.value)
-        if self._reading:
-            await asyncio.wait((self._reading,))
+            self._read(entry.value)
+        if self._reading_task:
+            await asyncio.wait((self._reading_task,))
 
     def gauge_values(self):
         """Return the version in force and its age, if there is one."""
         if self.current is None:
             return []
-        age_s = asyncio.get_running_loop().time() - self._taken_at
+        age_s = asyncio.get_running_loop().time() - self._in_force_since
         return [
             measures.GaugeValue("configuration_version", self.current.version),
             measures.GaugeValue("configuration_age_s", age_s),
@@ -77,26 +77,28 @@
         await super().stop()
 
     def _stop_reading(self):
-        if self._reading:
-            self._reading.cancel()
-            self._reading = None
+        if self._reading_task:
+            self._reading_task.cancel()
+            self._reading_task = None
 
-    def _take(self, value):
+    def _read(self, value):
         """Read a value that is newer than all before; it ends their reading.
 
         The first step is done at once: most changes need no more.
         """
         self._stop_reading()
         steps = self._codec.configuration_steps(value)
-        if not self._step(steps):
-            self._reading = asyncio.create_task(self._take_on(steps))
+        if not self._read_step(steps):
+            self._reading_task = asyncio.create_task(
+                self._finish_reading(steps)
+            )
 
-    async def _take_on(self, steps):
+    async def _finish_reading(self, steps):
         """Read on, and let requests be answered between the steps."""
-        while not self._step(steps):
+        while not self._read_step(steps):
             await asyncio.sleep(0)
 
-    def _step(self, steps):
+    def _read_step(self, steps):
         """Do one step of reading; return whether it was the last."""
         try:
             configuration = next(steps)
@@ -104,10 +106,10 @@
             _LOG.log("configuration-unreadable", cause=error.message)
             return True
         if configuration is not None:
-            self._use(configuration)
+            self._put_in_force(configuration)
         return configuration is not None
 
-    def _use(self, configuration):
+    def _put_in_force(self, configuration):
         """Put a configuration in force if it is newer."""
         if not self._newest.take(configuration):
             _LOG.log("configuration-older", version=configuration.version)
@@ -116,7 +118,7 @@
         self.organisations = organisations.Organisations(
             configuration.organisations
         )
-        self._taken_at = asyncio.get_running_loop().time()
+        self._in_force_since = asyncio.get_running_loop().time()
         _LOG.log(
             "configuration-in-force",
             version=configuration.version,
--- a/packages/gateway/anvilwell_gateway/dialect.py
+++ b/packages/gateway/anvilwell_gateway/dialect.py
@@ -7,7 +7,7 @@
 from anvilwell_decisions.requests import server_loads
 
 
-class Call(typing.NamedTuple):
+class RequestHead(typing.NamedTuple):
     """What a caller's head says; ``timeout_s`` is None if it does not.
 
     ``resume_after`` is the number of the last event that the caller has
@@ -19,7 +19,7 @@
     resume_after: int = 0
 
 
-class Outcome(typing.NamedTuple):
+class ResponseHead(typing.NamedTuple):
     """What a replica's head says.
 
     ``seal`` is the replica's proof of its answer, "" if it gives none;
@@ -63,15 +63,15 @@
     """Translates the heads of requests and answers."""
 
     @abc.abstractmethod
-    def read_call(self, headers):
-        """Return the `Call` that a caller's headers make."""
+    def read_request_head(self, headers):
+        """Return the `RequestHead` that a caller's headers make."""
 
     @abc.abstractmethod
     def keys(self, headers):
         """Return all keys of organisations in a caller's headers."""
 
     @abc.abstractmethod
-    def anonymous(self, headers):
+    def without_identity(self, headers):
         """Return a caller's headers less those that say who it is."""
 
     @abc.abstractmethod
@@ -85,7 +85,7 @@
         """
 
     @abc.abstractmethod
-    def to_replica(
+    def replica_headers(
         self, headers, name, timeout_s, resume_after=0, organisation=""
     ):
         """Return the headers that a replica is sent.
@@ -114,8 +114,8 @@
         """Return the headers of a `facts.ScoringCall` as a request."""
 
     @abc.abstractmethod
-    def read_outcome(self, reply):
-        """Return the `Outcome` that a replica's head makes."""
+    def read_response_head(self, reply):
+        """Return the `ResponseHead` that a replica's head makes."""
 
     @abc.abstractmethod
     def read_event(self, block):
@@ -140,5 +140,5 @@
         """Return the request that a stored ``records.Raw`` was."""
 
     @abc.abstractmethod
-    def write_page(self, total, results, next_position):
+    def encode_results_page(self, total, results, next_position):
         """Return the body of a page of results."""
--- a/packages/gateway/anvilwell_gateway/engine.py
+++ b/packages/gateway/anvilwell_gateway/engine.py
@@ -21,7 +21,7 @@
     started_ms: int = 0
 
 
-class OrderEnd(enum.StrEnum):
+class OrderResult(enum.StrEnum):
     """How an engine answered an order."""
 
     ACCEPTED = "accepted"
@@ -58,7 +58,7 @@
 
     @abc.abstractmethod
     async def order(self, order):
-        """Give a `VersionOrder`; return its `OrderEnd`."""
+        """Give a `VersionOrder`; return its `OrderResult`."""
 
     @abc.abstractmethod
     def close(self):
--- a/packages/gateway/anvilwell_gateway/claims.py
+++ b/packages/gateway/anvilwell_gateway/engine_claims.py
@@ -17,25 +17,25 @@
 
 PREFIX = "anvilwell/orders/"
 # An order follows the read that allowed it within this time, in seconds.
-USE_S = 0.5
+MAX_READ_AGE_S = 0.5
 # Holders may not take turns within three seconds. Whoever takes an engine
 # from another waits so long, and for what the other has read just before.
-TAKEN_S = 3.0 + 2 * USE_S
+CLAIM_WAIT_S = 3.0 + 2 * MAX_READ_AGE_S
 
 _LOG = logs.get_logger(__name__)
 
 
-class Claim(typing.NamedTuple):
+class EngineClaim(typing.NamedTuple):
     """Who orders; ``before`` is who did until then, "" for nobody."""
 
     holder: str
     before: str = ""
 
 
-_CLAIM = pydantic.TypeAdapter(Claim)
+_CLAIM_ADAPTER = pydantic.TypeAdapter(EngineClaim)
 
 
-class Claims:
+class EngineClaims:
     """The engines that this process gives orders to.
 
     Parameters
@@ -50,9 +50,9 @@
         self._store = store
         self._vm_id = vm_id
         self._clock = asyncio.get_running_loop().time
-        self._free_at_by_address = {}
+        self._usable_at_by_address = {}
 
-    async def hold(self, address):
+    async def obtain_fencing(self, address):
         """Return the fencing number of an order to be given at once.
 
         Returns
@@ -65,53 +65,53 @@
         exceptions.KeyValueUnavailable
             If the store can't be asked.
         """
-        asked_at = self._clock()
+        requested_at = self._clock()
         key = f"{PREFIX}{address}"
         entry = await self._store.get(key)
-        claim = _read(key, entry)
+        claim = _decode(key, entry)
         if claim is None or claim.holder != self._vm_id:
-            return await self._take(key, entry, claim)
-        free_at = self._free_at(address, claim)
+            return await self._claim(key, entry, claim)
+        usable_at = self._usable_at(address, claim)
         now = self._clock()
-        if now < free_at or now - asked_at > USE_S:
+        if now < usable_at or now - requested_at > MAX_READ_AGE_S:
             return None
         return entry.revision
 
-    def _free_at(self, address, claim):
+    def _usable_at(self, address, claim):
         """Return from when on this VM may order for an engine of its own.
 
         A process that does not know when its VM took the engine counts
         from now on.
         """
-        wait_s = TAKEN_S if claim.before else 0.0
-        free_at = self._clock() + wait_s
-        return self._free_at_by_address.setdefault(str(address), free_at)
+        wait_s = CLAIM_WAIT_S if claim.before else 0.0
+        usable_at = self._clock() + wait_s
+        return self._usable_at_by_address.setdefault(str(address), usable_at)
 
-    async def _take(self, key, entry, claim):
+    async def _claim(self, key, entry, claim):
         """Take an engine; return the number of an order to be given now.
 
         From another holder, there is none yet.
         """
         address = key.removeprefix(PREFIX)
-        self._free_at_by_address.pop(address, None)
+        self._usable_at_by_address.pop(address, None)
         before = claim.holder if claim else ""
-        value = cbor2.dumps(Claim(self._vm_id, before))
+        value = cbor2.dumps(EngineClaim(self._vm_id, before))
         swap = keyvalue.Swap(key, entry.revision if entry else 0, value)
         result = await self._store.swap([swap])
         if not result.landed:
             return None
-        wait_s = TAKEN_S if entry else 0.0
-        self._free_at_by_address[address] = self._clock() + wait_s
+        wait_s = CLAIM_WAIT_S if entry else 0.0
+        self._usable_at_by_address[address] = self._clock() + wait_s
         _LOG.log("engine-claimed", engine=address, before=before)
         return None if entry else result.revision
 
 
-def _read(key, entry):
-    """Return the `Claim` in an entry, None if there is none to read."""
+def _decode(key, entry):
+    """Return the `EngineClaim` in an entry, None if there is none to read."""
     if entry is None:
         return None
     try:
-        return _CLAIM.validate_python(cbor2.loads(entry.value))
+        return _CLAIM_ADAPTER.validate_python(cbor2.loads(entry.value))
     except (cbor2.CBORError, ValueError) as error:
         _LOG.log("claim-unreadable", key=key, cause=repr(error))
         return None
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -4,7 +4,7 @@
 
 from anvilwell_decisions.requests import byte_budget
 from anvilwell_gateway.batches import service as batch_service
-from anvilwell_gateway import claims
+from anvilwell_gateway import engine_claims
 from anvilwell_gateway import fleet as fleets
 from anvilwell_gateway import frontend as frontends
 from anvilwell_gateway.http import client
@@ -13,15 +13,15 @@
 from anvilwell_gateway import measures
 from anvilwell_gateway import metrics_page
 from anvilwell_gateway import peer_server as peer_servers
-from anvilwell_gateway import standing_in
+from anvilwell_gateway import substitute_ordering
 from anvilwell_kernel.telemetry import logs
 
 # After SIGTERM: the balancer asks once a second and needs two misses, so
 # for so long new connections still come.
-LEAVE_S = 2.6
+LISTEN_AFTER_SIGTERM_S = 2.6
 # How long peers are waited for, in seconds. A watch that is relayed for one
 # may wait for many times as long.
-PEERS_S = 1.0
+PEER_DRAIN_TIMEOUT_S = 1.0
 
 _LOG = logs.get_logger(__name__)
 
@@ -35,12 +35,12 @@
         Addresses and names.
     platform : platforms.Platform
         The adapter to the platform.
-    early : listening.EarlyListeners, optional
+    early_listeners : listening.EarlyListeners, optional
         What listens already.
     """
 
-    def __init__(self, settings, platform, early=None):
-        self._early = early or listening.EarlyListeners({})
+    def __init__(self, settings, platform, early_listeners=None):
+        self._early_listeners = early_listeners or listening.EarlyListeners({})
         self._pool = client.Pool(asyncio.get_running_loop().time)
         self._budget = byte_budget.ByteBudget.from_memory(
             settings.daemon.memory_mb
@@ -68,16 +68,16 @@
             self.fleet,
             self.live_calls,
             self._batches,
-            self._early,
+            self._early_listeners,
             self._budget,
         )
-        self._stand_in = standing_in.StandIn(
+        self._substitute_orderer = substitute_ordering.SubstituteOrderer(
             self.fleet.vm_id,
             self.fleet.directory,
             self.fleet.versions,
             self.fleet.neighbours,
             self.fleet.last_contact_at,
-            claims.Claims(self.fleet.store, self.fleet.vm_id),
+            engine_claims.EngineClaims(self.fleet.store, self.fleet.vm_id),
             platform.engine_at,
             self._batches.manager.min_versions_by_model,
         )
@@ -153,13 +153,13 @@
 
     async def start(self):
         """Listen and begin to follow the store."""
-        for problem in self._early.problems:
+        for problem in self._early_listeners.problems:
             _LOG.log("listens-late", cause=problem)
         await self.frontend.start()
         await self.peer_server.start()
         await self._metrics.start()
         self.fleet.start(self.peer_address)
-        self._stand_in.start()
+        self._substitute_orderer.start()
         self.live_calls.start()
         self._batches.start()
 
@@ -172,24 +172,24 @@
         self._batches.refuse_new()
         self.frontend.start_draining()
         loop = asyncio.get_running_loop()
-        leave_at = loop.time() + LEAVE_S
-        await self._stand_in.stop()
+        close_at = loop.time() + LISTEN_AFTER_SIGTERM_S
+        await self._substitute_orderer.stop()
         await self._batches.release()
         await self.live_calls.usage.let_go()
         await self.fleet.presence.stop()
-        await asyncio.sleep(leave_at - loop.time())
+        await asyncio.sleep(close_at - loop.time())
         await self.frontend.finish()
         await self.live_calls.usage.stop()
-        await self._finish_peers()
+        await self._drain_peer_server()
 
-    async def _finish_peers(self):
+    async def _drain_peer_server(self):
         try:
-            async with asyncio.timeout(PEERS_S):
+            async with asyncio.timeout(PEER_DRAIN_TIMEOUT_S):
                 await self.peer_server.finish()
         except TimeoutError:
             await self.peer_server.abort()
 
-    async def cut(self):
+    async def abort(self):
         """Answer what is under way at the end of the drain's limit."""
         await asyncio.gather(
             self.frontend.abort_requests(), self.peer_server.abort()
@@ -197,7 +197,7 @@
 
     async def stop(self):
         """Close everything."""
-        await self._stand_in.stop()
+        await self._substitute_orderer.stop()
         await self.fleet.stop()
         await self.live_calls.stop()
         await self._batches.stop()
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -11,7 +11,7 @@
 from anvilwell_gateway import presence as presences
 from anvilwell_gateway import retirement
 from anvilwell_gateway import store_paths
-from anvilwell_gateway import versions
+from anvilwell_gateway import wanted_versions
 
 
 class Fleet:
@@ -51,8 +51,10 @@
         self.cluster_state = cluster_state.ClusterState(
             self.store, self.presence, self.store_path, self.neighbours
         )
-        self.versions = versions.Versions(self.store, platform.codec)
-        self.retirement = retirement.Retirement(
+        self.versions = wanted_versions.WantedVersions(
+            self.store, platform.codec
+        )
+        self.retirement = retirement.RetirementResponder(
             self.store, platform.codec, self.cluster_state, daemon.vm_id
         )
         self._followers = [
@@ -80,13 +82,13 @@
         return self.presence.vm_id
 
     @property
-    def is_informed(self):
+    def has_loaded(self):
         """Whether configuration and replicas are known."""
         return (
             self.configuration.current is not None and self.directory.is_loaded
         )
 
-    def follow(self, follower):
+    def add_follower(self, follower):
         """Start and stop one more `PrefixFollower` with the others."""
         self._followers.append(follower)
 
--- a/packages/gateway/anvilwell_gateway/forwarding.py
+++ b/packages/gateway/anvilwell_gateway/forwarding.py
@@ -275,7 +275,7 @@
         connection.send(
             request.method,
             request.target,
-            self._dialect.to_replica(
+            self._dialect.replica_headers(
                 messages.end_to_end(request.headers),
                 replica.name,
                 timeout_s,
@@ -285,7 +285,7 @@
             request.body,
         )
         reply = await connection.read_head()
-        outcome = self._dialect.read_outcome(reply)
+        outcome = self._dialect.read_response_head(reply)
         if outcome.is_other:
             self._directory.exclude(replica.replica_id)
         elif outcome.not_run:
--- a/packages/gateway/anvilwell_gateway/frontend.py
+++ b/packages/gateway/anvilwell_gateway/frontend.py
@@ -116,7 +116,7 @@
     def _is_ready(self):
         return (
             not self._is_draining
-            and self._fleet.is_informed
+            and self._fleet.has_loaded
             and self._fleet.cluster_state.is_loaded
         )
 
@@ -124,7 +124,7 @@
         await responder.send(200 if self._is_ready() else 503)
 
     async def _answer(self, request, responder):
-        call = self._dialect.read_call(request.headers)
+        call = self._dialect.read_request_head(request.headers)
         try:
             async with self._aborter.guard():
                 await self._dispatch(call, request, responder)
@@ -153,7 +153,7 @@
                 batch_call, call.request_id, responder
             )
             return
-        await self._wait_for(lambda: self._fleet.is_informed)
+        await self._wait_for(lambda: self._fleet.has_loaded)
         self._check_configured()
         route, request = admission.admit(request)
         if route.is_batch:
--- a/packages/gateway/anvilwell_gateway/process.py
+++ b/packages/gateway/anvilwell_gateway/process.py
@@ -25,15 +25,15 @@
         Reads the settings on SIGHUP and when their file changes.
     """
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in SIGNALS:
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     watch = asyncio.create_task(reloader.watch())
     try:
         await part.start()
         _LOG.log("started")
-        await told.wait()
+        await stop_requested.wait()
         _LOG.log("draining")
         return await _drain(part, drain_limit_s)
     except exceptions.AnvilwellError as error:
@@ -51,13 +51,13 @@
             await part.drain()
     except TimeoutError:
         _LOG.log("not-drained")
-        await part.cut()
+        await part.abort()
         return os.EX_TEMPFAIL
     _LOG.log("drained")
     return os.EX_OK
 
 
-class Idle:
+class IdleProcess:
     """A process whose VM has nothing to do; it only starts and stops."""
 
     async def start(self):
@@ -66,7 +66,7 @@
     async def drain(self):
         """Do nothing."""
 
-    async def cut(self):
+    async def abort(self):
         """Do nothing."""
 
     async def stop(self):
--- a/packages/gateway/anvilwell_gateway/reloading.py
+++ b/packages/gateway/anvilwell_gateway/reloading.py
@@ -8,7 +8,7 @@
 from anvilwell_kernel.telemetry import logs
 
 # Settings may change without a signal; looking costs one system call.
-LOOK_S = 1.0
+POLL_INTERVAL_S = 1.0
 
 _LOG = logs.get_logger(__name__)
 
@@ -36,18 +36,18 @@
         self._role = role
         self._settings = settings
         self._apply = apply
-        self._stamp = self._read_stamp()
+        self._file_stamp = self._read_file_stamp()
 
     async def watch(self):
         """Look for changes for ever."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            if self._read_stamp() != self._stamp:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if self._read_file_stamp() != self._file_stamp:
                 self.reload()
 
     def reload(self):
         """Read the settings and take what has changed."""
-        self._stamp = self._read_stamp()
+        self._file_stamp = self._read_file_stamp()
         try:
             settings = config.load(self._path, self._role)
         except exceptions.ConfigurationError as error:
@@ -67,7 +67,7 @@
         )
         self._settings = settings
 
-    def _read_stamp(self):
+    def _read_file_stamp(self):
         try:
             status = os.stat(self._path)
         except OSError as error:
--- a/packages/gateway/anvilwell_gateway/retirement.py
+++ b/packages/gateway/anvilwell_gateway/retirement.py
@@ -16,7 +16,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Retirement(prefix_follower.PrefixFollower):
+class RetirementResponder(prefix_follower.PrefixFollower):
     """Answers each wish to empty a storage VM.
 
     Nothing lies on the disks that isn't in the store, so a storage VM
@@ -47,11 +47,11 @@
         await tasks.stop(*self._tasks)
 
     def _answer(self, key):
-        task = asyncio.create_task(self._write(key))
+        task = asyncio.create_task(self._write_answer(key))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _write(self, key):
+    async def _write_answer(self, key):
         peers = sorted({*self._cluster_state.incarnations_by_vm, self._vm_id})
         await asyncio.sleep(RANK_DELAY_S * peers.index(self._vm_id))
         note_key, value = self._codec.retirement_entry(key)
--- a/packages/gateway/anvilwell_gateway/standing_in.py
+++ b/packages/gateway/anvilwell_gateway/substitute_ordering.py
@@ -8,24 +8,24 @@
 import asyncio
 
 from anvilwell_decisions.batches import loading
-from anvilwell_gateway import moving
 from anvilwell_gateway import tasks
+from anvilwell_gateway import version_loading
 from anvilwell_kernel.telemetry import logs
 
 # Between looks at the engines, in seconds.
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 # An agent asks for changes each second; one that has not for so long is
 # taken to be absent. The same holds from when this entry has the duty.
-ABSENT_S = 3.0
+AGENT_TIMEOUT_S = 3.0
 # After a longer gap between looks this VM stood still itself, and has heard
 # nobody: agents get their time once more. A look that is merely late by a
 # busy core is shorter.
-STOOD_STILL_S = 3 * LOOK_S
+SUSPENSION_GAP_S = 3 * CHECK_INTERVAL_S
 
 _LOG = logs.get_logger(__name__)
 
 
-class StandIn:
+class SubstituteOrderer:
     """Moves the engines of this entry's duty that nobody else moves.
 
     Parameters
@@ -34,13 +34,13 @@
         This VM.
     directory : directory.Directory
         The engines, as replicas.
-    versions : versions.Versions
+    versions : wanted_versions.WantedVersions
         What is wanted.
     neighbours : neighbours.Neighbours
         Which engines are this entry's duty.
     heard : callable
         When the agent of the engine at an address was heard, or -inf.
-    claims : claims.Claims
+    claims : engine_claims.EngineClaims
         Whether this VM may order.
     engine_at : callable
         Returns the `engine.Engine` at an address.
@@ -54,7 +54,7 @@
         directory,
         versions,
         neighbours,
-        heard,
+        last_contact_at,
         claims,
         engine_at,
         min_versions_by_model,
@@ -63,99 +63,108 @@
         self._directory = directory
         self._versions = versions
         self._neighbours = neighbours
-        self._heard = heard
+        self._last_contact_at = last_contact_at
         self._claims = claims
         self._engine_at = engine_at
         self._min_versions_by_model = min_versions_by_model
         self._clock = asyncio.get_running_loop().time
         self._duty_since_by_domain = {}
-        self._looked_at = self._clock()
-        self._tasks_by_move = {}
-        self._looking = None
+        self._checked_at = self._clock()
+        self._load_tasks_by_key = {}
+        self._check_task = None
 
     def start(self):
         """Begin to look."""
-        self._looking = asyncio.create_task(self._look_on())
+        self._check_task = asyncio.create_task(self._check_forever())
 
     async def stop(self):
         """Order no more."""
-        await tasks.stop(self._looking, *self._tasks_by_move.values())
+        await tasks.stop(self._check_task, *self._load_tasks_by_key.values())
 
-    async def _look_on(self):
+    async def _check_forever(self):
         while True:
-            await asyncio.sleep(LOOK_S)
-            self.look()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.check_engines()
 
-    def look(self):
+    def check_engines(self):
         """Start to move each engine that is behind and unattended."""
         now = self._clock()
-        if now - self._looked_at > STOOD_STILL_S:
+        if now - self._checked_at > SUSPENSION_GAP_S:
             self._duty_since_by_domain = {}
-        self._looked_at = now
+        self._checked_at = now
         replicas = [one for one in self._directory.usable() if one.versions]
-        self._note_duties({one.failure_domain for one in replicas})
+        self._update_duties({one.failure_domain for one in replicas})
         if not self._duty_since_by_domain:
             return
         for replica in replicas:
-            if not self._is_ours(replica):
+            if not self._may_order(replica):
                 continue
             for model, wanted in self._versions.wanted_by_model.items():
                 had = _version(replica, model)
                 key = (replica.replica_id, model)
-                if had is None or had >= wanted or key in self._tasks_by_move:
+                if (
+                    had is None
+                    or had >= wanted
+                    or key in self._load_tasks_by_key
+                ):
                     continue
-                task = asyncio.create_task(self._move(replica, model, had))
-                self._tasks_by_move[key] = task
+                task = asyncio.create_task(self._load(replica, model, had))
+                self._load_tasks_by_key[key] = task
                 task.add_done_callback(
-                    lambda _, key=key: self._tasks_by_move.pop(key, None)
+                    lambda _, key=key: self._load_tasks_by_key.pop(key, None)
                 )
 
-    def _note_duties(self, domains):
+    def _update_duties(self, domains):
         self._duty_since_by_domain = {
             domain: self._duty_since_by_domain.get(domain, self._clock())
             for domain in domains
             if self._neighbours.has_duty(domain)
         }
 
-    def _is_ours(self, replica):
+    def _may_order(self, replica):
         """Return whether nobody else moves an engine for some time."""
         since = self._duty_since_by_domain.get(replica.failure_domain)
         if since is None:
             return False
-        last = max(since, self._heard(str(replica.address)))
+        last = max(since, self._last_contact_at(str(replica.address)))
         known = self._directory.replicas_by_id
-        return replica.replica_id in known and self._clock() - last > ABSENT_S
+        return (
+            replica.replica_id in known
+            and self._clock() - last > AGENT_TIMEOUT_S
+        )
 
-    async def _move(self, replica, model, had):
-        wait_s = self._wait_s(replica, model, had)
+    async def _load(self, replica, model, had):
+        wait_s = self._load_delay_s(replica, model, had)
         if wait_s is None:
             return
         await asyncio.sleep(wait_s)
         engine = self._engine_at(replica.address)
-        mover = moving.Mover(
+        loader = version_loading.VersionLoader(
             engine, replica.address, self._vm_id, self._claims, self._versions
         )
         _LOG.log("stands-in", replica=replica.replica_id, model=model, had=had)
         try:
-            await mover.move(model, lambda: self._is_ours(replica), _nothing)
+            await loader.load(
+                model, lambda: self._may_order(replica), _ignore_report
+            )
         finally:
             engine.close()
 
-    def _wait_s(self, replica, model, had):
+    def _load_delay_s(self, replica, model, had):
         """Return how long to wait before a load, None for no load now."""
         wanted = self._versions.wanted_by_model[model]
-        needs = self._min_versions_by_model().get(model)
-        lag = None if needs is None else max(0, wanted - needs)
+        min_version = self._min_versions_by_model().get(model)
+        lag = None if min_version is None else max(0, wanted - min_version)
         models = {one.model for one in replica.versions}.intersection(
             self._versions.wanted_by_model
         )
-        place = loading.load_position(
+        position = loading.load_position(
             replica.address,
             model,
             models,
             (one.address for one in self._directory.usable(replica.service)),
         )
-        return loading.load_delay_s(had, wanted, lag, place)
+        return loading.load_delay_s(had, wanted, lag, position)
 
 
 def _version(replica, model):
@@ -164,5 +173,5 @@
     return max(versions, default=None)
 
 
-def _nothing(report):
+def _ignore_report(report):
     """Take an order's report: the registration tells the rest."""
--- a/packages/gateway/anvilwell_gateway/moving.py
+++ b/packages/gateway/anvilwell_gateway/version_loading.py
@@ -6,14 +6,14 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 # Between tries of an order that failed, or that may not be given yet.
-RETRY_S = 0.3
+RETRY_INTERVAL_S = 0.3
 
 _LOG = logs.get_logger(__name__)
 
 
-class Mover:
+class VersionLoader:
     """Orders until an engine has what was wanted when that began.
 
     A newer version may be the turn of others: the items of its step need
@@ -27,9 +27,9 @@
         Where it serves; names it among all engines.
     vm_id : str
         Who orders.
-    claims : claims.Claims
+    claims : engine_claims.EngineClaims
         Whether this VM may.
-    versions : versions.Versions
+    versions : wanted_versions.WantedVersions
         What is wanted.
     """
 
@@ -40,7 +40,7 @@
         self._claims = claims
         self._versions = versions
 
-    async def move(self, model, may_go_on, on_ordered):
+    async def load(self, model, may_order, on_ordered):
         """Order until the engine has the version wanted now of `model`.
 
         What is ordered is the newest one all the same.
@@ -60,12 +60,15 @@
             What shows that the version is there; None if it was another
             VM's turn before that.
         """
-        least = self._versions.wanted_by_model[model]
-        while may_go_on():
+        target_version = self._versions.wanted_by_model[model]
+        while may_order():
             wanted = self._versions.wanted_by_model[model]
             try:
                 report = await self._engine.report()
-                if report.version_by_model.get(model, least) >= least:
+                if (
+                    report.version_by_model.get(model, target_version)
+                    >= target_version
+                ):
                     return report
                 if not report.is_busy:
                     await self._order(report, model, wanted, on_ordered)
@@ -75,14 +78,14 @@
                     engine=str(self._address),
                     cause=error.message,
                 )
-                await asyncio.sleep(RETRY_S)
-            await asyncio.sleep(POLL_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
     async def _order(self, report, model, wanted, on_ordered):
-        fencing = await self._claims.hold(self._address)
+        fencing = await self._claims.obtain_fencing(self._address)
         if fencing is None:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             return
         order = engines.VersionOrder(
             report.replica_id,
@@ -92,7 +95,7 @@
             fencing,
             report.orders_taken,
         )
-        end = await self._engine.order(order)
+        result = await self._engine.order(order)
         _LOG.log(
             "version-ordered",
             replica=report.replica_id,
@@ -101,9 +104,9 @@
             version=wanted,
             had=report.version_by_model[model],
             running=report.running,
-            end=str(end),
+            end=str(result),
         )
-        if end is engines.OrderEnd.ACCEPTED:
+        if result is engines.OrderResult.ACCEPTED:
             on_ordered(report)
         else:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
--- a/packages/gateway/anvilwell_gateway/versions.py
+++ b/packages/gateway/anvilwell_gateway/wanted_versions.py
@@ -9,26 +9,26 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Versions(prefix_follower.PrefixFollower):
+class WantedVersions(prefix_follower.PrefixFollower):
     """Follows the versions that trainers ask for; they only rise."""
 
     def __init__(self, store, codec):
         super().__init__(store, codec.versions_prefix)
         self._codec = codec
         self.wanted_by_model = {}
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
 
     def load(self, entries_by_key):
         """Take all versions that are there."""
         for entry in entries_by_key.values():
-            self._take(entry.key, entry.value)
+            self._record(entry.key, entry.value)
 
     def change(self, change):
         """Take one version."""
         if change.value is not None:
-            self._take(change.key, change.value)
+            self._record(change.key, change.value)
 
-    def _take(self, key, value):
+    def _record(self, key, value):
         try:
             model, version = self._codec.read_version(key, value)
         except exceptions.ConfigurationError as error:
@@ -36,5 +36,5 @@
             return
         if version > self.wanted_by_model.get(model, 0):
             self.wanted_by_model[model] = version
-            self.news.set()
+            self.changed.set()
             _LOG.log("version-wanted", model=model, version=version)
--- a/packages/gateway/tests/test_claims.py
+++ b/packages/gateway/tests/test_engine_claims.py
@@ -3,7 +3,7 @@
 import asyncio
 import itertools
 
-from anvilwell_gateway import claims
+from anvilwell_gateway import engine_claims
 from anvilwell_outside.ports import keyvalue
 import hypothesis
 from hypothesis import strategies as st
@@ -37,7 +37,7 @@
 
 
 async def _order(holder, vm_id, orders):
-    fencing = await holder.hold("10.0.0.9:80")
+    fencing = await holder.obtain_fencing("10.0.0.9:80")
     if fencing is not None:
         now = asyncio.get_running_loop().time()
         orders.append((now, vm_id, fencing))
@@ -58,11 +58,13 @@
     async def scenario():
         store = _Store(lag_s)
         orders = []
-        holders = {vm_id: claims.Claims(store, vm_id) for vm_id in VMS}
+        holders = {
+            vm_id: engine_claims.EngineClaims(store, vm_id) for vm_id in VMS
+        }
         tasks = []
         for vm_id, wait_s, starts_again in tries:
             if starts_again:
-                holders[vm_id] = claims.Claims(store, vm_id)
+                holders[vm_id] = engine_claims.EngineClaims(store, vm_id)
             order = _order(holders[vm_id], vm_id, orders)
             tasks.append(asyncio.create_task(order))
             await asyncio.sleep(wait_s)
@@ -82,7 +84,9 @@
 
 def test_an_engine_that_nobody_had_is_ordered_for_at_once(run_virtual):
     async def scenario():
-        return await claims.Claims(_Store(), "agent").hold("10.0.0.9:80")
+        return await engine_claims.EngineClaims(
+            _Store(), "agent"
+        ).obtain_fencing("10.0.0.9:80")
 
     assert run_virtual(scenario()) == 8
 
@@ -91,9 +95,9 @@
     async def scenario():
         store = _Store()
         store.entry = keyvalue.Entry("k", b"\xff", 5)
-        holder = claims.Claims(store, "agent")
-        first = await holder.hold("10.0.0.9:80")
-        await asyncio.sleep(claims.TAKEN_S)
-        return first, await holder.hold("10.0.0.9:80")
+        holder = engine_claims.EngineClaims(store, "agent")
+        first = await holder.obtain_fencing("10.0.0.9:80")
+        await asyncio.sleep(engine_claims.CLAIM_WAIT_S)
+        return first, await holder.obtain_fencing("10.0.0.9:80")
 
     assert run_virtual(scenario()) == (None, 8)
--- a/packages/gateway/tests/test_suspended.py
+++ b/packages/gateway/tests/test_suspended.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from anvilwell_gateway import claims
+from anvilwell_gateway import engine_claims
 from anvilwell_gateway import presence
-from anvilwell_gateway import standing_in
+from anvilwell_gateway import substitute_ordering
 from anvilwell_kernel import loops
 from anvilwell_outside.ports import keyvalue
 
@@ -101,11 +101,15 @@
 
 def test_no_order_follows_a_claim_that_was_read_before(boot_clock):
     async def scenario():
-        value = claims.cbor2.dumps(claims.Claim("agent"))
+        value = engine_claims.cbor2.dumps(engine_claims.EngineClaim("agent"))
         entry = keyvalue.Entry("k", value, 5)
-        steady = claims.Claims(_Store(entry), "agent")
-        suspended = claims.Claims(_Store(entry, boot_clock.suspend), "agent")
-        return await steady.hold(ENGINE), await suspended.hold(ENGINE)
+        steady = engine_claims.EngineClaims(_Store(entry), "agent")
+        suspended = engine_claims.EngineClaims(
+            _Store(entry, boot_clock.suspend), "agent"
+        )
+        return await steady.obtain_fencing(
+            ENGINE
+        ), await suspended.obtain_fencing(ENGINE)
 
     assert _run(scenario()) == (5, None)
 
@@ -127,8 +131,8 @@
 ):
     moved = []
 
-    class _StandIn(standing_in.StandIn):
-        async def _move(self, replica, model, had):
+    class _RecordingOrderer(substitute_ordering.SubstituteOrderer):
+        async def _load(self, replica, model, had):
             moved.append(replica.replica_id)
 
     replica = types.SimpleNamespace(
@@ -143,7 +147,7 @@
 
     async def scenario():
         heard = asyncio.get_running_loop().time()
-        stand_in = _StandIn(
+        orderer = _RecordingOrderer(
             "entry-1",
             directory,
             types.SimpleNamespace(wanted_by_model={"m": 2}),
@@ -153,18 +157,18 @@
             None,
             dict,
         )
-        stand_in.look()
+        orderer.check_engines()
         boot_clock.suspend()
-        stand_in.look()
+        orderer.check_engines()
         await asyncio.sleep(0)
         assert not moved
-        boot_clock.ahead_s += standing_in.LOOK_S
-        stand_in.look()
+        boot_clock.ahead_s += substitute_ordering.CHECK_INTERVAL_S
+        orderer.check_engines()
         await asyncio.sleep(0)
         assert not moved
         for _ in range(8):
-            boot_clock.ahead_s += standing_in.LOOK_S
-            stand_in.look()
+            boot_clock.ahead_s += substitute_ordering.CHECK_INTERVAL_S
+            orderer.check_engines()
         await asyncio.sleep(0)
         assert moved[:1] == ["r1"]
 
--- a/packages/gateway/tests/test_moving.py
+++ b/packages/gateway/tests/test_version_loading.py
@@ -3,7 +3,7 @@
 import types
 
 from anvilwell_gateway import engine as engines
-from anvilwell_gateway import moving
+from anvilwell_gateway import version_loading
 
 MODEL = "m"
 
@@ -24,11 +24,11 @@
         self.version = order.version
         # The trainer's next step is named while the engine loads.
         self._versions.wanted_by_model[MODEL] += 1
-        return engines.OrderEnd.ACCEPTED
+        return engines.OrderResult.ACCEPTED
 
 
-class _Claims:
-    async def hold(self, address):
+class _EngineClaims:
+    async def obtain_fencing(self, address):
         return 1
 
 
@@ -40,9 +40,11 @@
     """
     versions = types.SimpleNamespace(wanted_by_model={MODEL: 6})
     engine = _Engine(versions)
-    mover = moving.Mover(engine, "a:1", "vm", _Claims(), versions)
+    loader = version_loading.VersionLoader(
+        engine, "a:1", "vm", _EngineClaims(), versions
+    )
 
-    report = run_virtual(mover.move(MODEL, lambda: True, lambda _: None))
+    report = run_virtual(loader.load(MODEL, lambda: True, lambda _: None))
 
     assert engine.ordered == [6]
     assert report.version_by_model[MODEL] == 6
