--- a/packages/gateway/anvilwell_gateway/batches/committing.py
+++ b/packages/gateway/anvilwell_gateway/batches/committing.py
@@ -12,7 +12,7 @@
 # that the trainer waits for. It reads each half second, so that of two groups
 # that end a step the second is seen that much later if the first one is
 # listed alone.
-GATHER_S = 0.25
+GROUPING_DELAY_S = 0.25
 
 _LOG = logs.get_logger(__name__)
 
@@ -30,52 +30,52 @@
         Told ``(held, cause)`` if the batch is another process's now.
     """
 
-    def __init__(self, batch_store, batch, on_taken):
+    def __init__(self, batch_store, batch, on_ownership_lost):
         self._store = batch_store
         self._batch = batch
-        self._on_taken = on_taken
+        self._on_ownership_lost = on_ownership_lost
 
     async def run(self):
         """Commit whatever is ready, until the batch is lost."""
         batch = self._batch
         loop = asyncio.get_running_loop()
-        wrote_s = 0.0
+        write_s = 0.0
         while True:
-            await batch.has_ready.wait()
-            batch.has_ready.clear()
-            if not batch.book.listable_results():
+            await batch.has_new_results.wait()
+            batch.has_new_results.clear()
+            if not batch.state.listable_results():
                 continue
             # What came during a long write has waited enough.
-            await self._gather(GATHER_S - wrote_s)
-            results = sizes.fitting(
-                batch.book.listable_results(), records.MAX_VALUE_BYTES
+            await self._wait_for_more_groups(GROUPING_DELAY_S - write_s)
+            results = sizes.fit_results(
+                batch.state.listable_results(), records.MAX_VALUE_BYTES
             )
             if not results:
                 continue
-            began_at = loop.time()
+            started_at = loop.time()
             batch.begin_write()
             if not await self._append(results):
                 return
-            wrote_s = loop.time() - began_at
+            write_s = loop.time() - started_at
             batch.chunks += 1
-            batch.list(results)
+            batch.mark_listed(results)
             _LOG.routine(
                 "results-listed",
                 batch_id=batch.batch_id,
                 chunk=batch.chunks - 1,
-                listed=len(batch.book.listed),
-                took_s=round(wrote_s, 3),
+                listed=len(batch.state.listed),
+                took_s=round(write_s, 3),
             )
-            batch.has_ready.set()
+            batch.has_new_results.set()
 
-    async def _gather(self, wait_s):
+    async def _wait_for_more_groups(self, wait_s):
         """Wait for more groups while the trainer needs more than are whole."""
         batch = self._batch
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, wait_s)):
-                while not batch.book.has_enough_groups:
-                    await batch.has_ready.wait()
-                    batch.has_ready.clear()
+                while not batch.state.has_enough_groups:
+                    await batch.has_new_results.wait()
+                    batch.has_new_results.clear()
 
     async def _append(self, results):
         """Write one chunk; return whether the batch is still ours.
@@ -91,7 +91,7 @@
                 )
                 return True
             except records.OwnedElsewhere as error:
-                self._on_taken(batch, error.message)
+                self._on_ownership_lost(batch, error.message)
                 return False
             except exceptions.AnvilwellError as error:
                 _LOG.log(
--- a/packages/gateway/anvilwell_gateway/batches/homes.py
+++ b/packages/gateway/anvilwell_gateway/batches/homes.py
@@ -14,7 +14,7 @@
 
 # VMs differ by a factor of six in what they can process. Gathered batches
 # go to those with at least this share of the best one's capacity.
-LEAST_SHARE = 0.7
+MIN_CAPACITY_SHARE = 0.7
 
 
 class Homes:
@@ -49,29 +49,29 @@
 
     def all(self, service):
         """Return the homes of a service, the first one first."""
-        able = self._able()
-        ranked = rendezvous.rank_vms(f"run batches of {service}", able)
-        return tuple(ranked[: self._count(service, able)])
+        eligible = self._eligible_vms()
+        ranked = rendezvous.rank_vms(f"run batches of {service}", eligible)
+        return tuple(ranked[: self._count(service, eligible)])
 
-    def _able(self):
+    def _eligible_vms(self):
         """Return the VMs that run batches, as live_by_vm."""
         live_by_vm = self._cluster_state.live_by_vm
         best = max((one.capacity for one in live_by_vm.values()), default=0.0)
         return {
             vm_id: live
             for vm_id, live in live_by_vm.items()
-            if live.capacity >= LEAST_SHARE * best
+            if live.capacity >= MIN_CAPACITY_SHARE * best
         }
 
-    def _count(self, service, able):
+    def _count(self, service, eligible):
         carried = min(
             (
                 home_slots.item_capacity(live.capacity, live.link_mbps)
-                for live in able.values()
+                for live in eligible.values()
             ),
             default=0.0,
         )
-        items = self._items(service)
+        items = self._expected_items(service)
         if items <= carried:
             return 1
         slots = sum(one.slots for one in self._replicas(service))
@@ -79,7 +79,7 @@
             min(items, slots), carried, len(self._models(service))
         )
 
-    def _items(self, service):
+    def _expected_items(self, service):
         """Return how many items the newest batches of all models have.
 
         A trainer's steps are alike, so that changes little while it trains.
@@ -112,11 +112,11 @@
         ]
 
 
-def service_of(route):
+def gathering_key(route):
     """Return what a route's batches are gathered by: all its services."""
     return ",".join(sorted(target.service for target in route.targets))
 
 
-def services_in(gathered):
+def services_of_key(key):
     """Return the services whose batches are gathered under one name."""
-    return gathered.split(",")
+    return key.split(",")
--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -34,7 +34,7 @@
 # over here too, but waits no longer than this, in seconds. The one that is
 # opened first gets the places of a trainer's earlier step, which has more to
 # read from the store and ends sooner.
-OLDER_FIRST_S = 0.3
+OLDER_BATCH_WAIT_S = 0.3
 
 _LOG = logs.get_logger(__name__)
 
@@ -81,17 +81,17 @@
         self._dialect = dialect
         self._submission_forwarder = submission_forwarder
         self._homes = homes
-        self._resolving = set()
+        self._pending_writes = set()
         # How many submissions of each batch are under way.
         self._accepting = collections.Counter()
-        self._reviews = set()
-        self._taking = set()
+        self._tasks = set()
+        self._taking_over = set()
         self._opening = {}
-        self._may_take = False
+        self._may_take_over = False
         self.is_draining = False
-        cluster_state.listen(self._heard)
-        owners.listen(self._look_at)
-        manager.on_lost = self.review
+        cluster_state.listen(self._on_news)
+        owners.listen(self._check_ownership)
+        manager.on_lost = self.check_all_owners
 
     async def accept(self, route, request):
         """Accept the batch in `request`; it is durable on return.
@@ -114,14 +114,14 @@
         if outcome is submission_forwarding.ForwardOutcome.ACCEPTED:
             return
         try:
-            await self.take(route, request)
+            await self.accept_here(route, request)
         except exceptions.AnvilwellError as error:
             if outcome is submission_forwarding.ForwardOutcome.UNKNOWN:
                 # The other entry may have accepted it.
                 error.verdict = verdicts.Verdict.MAY_HAVE_RUN
             raise
 
-    async def take(self, route, request):
+    async def accept_here(self, route, request):
         """Accept the batch in `request` for this entry to run.
 
         Raises
@@ -145,20 +145,20 @@
                 "this VM is not registered in the store",
                 reason=reasons.Refusal.KEY_VALUE_UNAVAILABLE,
             )
-        owner = self._owner(
-            submission, digest, time.time(), all_homes.service_of(route)
+        owner = self._new_owner(
+            submission, digest, time.time(), all_homes.gathering_key(route)
         )
-        raw = records.StoredSubmission(
+        stored_submission = records.StoredSubmission(
             request.target,
             request.headers,
             request.body,
             request.organisation,
         )
         accepting = asyncio.create_task(
-            self._write(route, submission, owner, raw)
+            self._write(route, submission, owner, stored_submission)
         )
-        self._resolving.add(accepting)
-        accepting.add_done_callback(self._resolved)
+        self._pending_writes.add(accepting)
+        accepting.add_done_callback(self._on_write_finished)
         done, _ = await asyncio.wait((accepting,), timeout=ACCEPT_TIMEOUT_S)
         if not done:
             raise exceptions.KeyValueUnavailable(
@@ -168,7 +168,7 @@
         claim = accepting.result()
         _check_same(claim.owner, digest, submission)
 
-    async def _write(self, route, submission, owner, raw):
+    async def _write(self, route, submission, owner, stored_submission):
         """Write the batch and open it, also after the caller has left.
 
         A write that was sent may land late. Then the batch is ours, and
@@ -179,7 +179,7 @@
         self._accepting[batch_id] += 1
         try:
             claim, carried = await self._store_batch(
-                route, batch_id, owner, raw
+                route, batch_id, owner, stored_submission
             )
             if claim.owner == owner._replace(parts=claim.owner.parts):
                 self._open(route, submission, claim, ((), 0, carried))
@@ -188,15 +188,19 @@
             if not self._accepting[batch_id]:
                 del self._accepting[batch_id]
             # Its owner may have been lost meanwhile.
-            self._look_at({batch_id})
+            self._check_ownership({batch_id})
         return claim
 
-    async def _store_batch(self, route, batch_id, owner, raw):
+    async def _store_batch(self, route, batch_id, owner, stored_submission):
         return await asyncio.gather(
             self._store.accept(
-                batch_id, owner, raw, RESOLVE_TIMEOUT_S, REFUSED_TIMEOUT_S
+                batch_id,
+                owner,
+                stored_submission,
+                RESOLVE_TIMEOUT_S,
+                REFUSED_TIMEOUT_S,
             ),
-            self._carried(route, raw.organisation),
+            self._carried(route, stored_submission.organisation),
         )
 
     async def _carried(self, route, organisation):
@@ -206,12 +210,12 @@
             _LOG.log("texts-not-read", cause=error.message)
             return ()
 
-    def _resolved(self, task):
-        self._resolving.discard(task)
+    def _on_write_finished(self, task):
+        self._pending_writes.discard(task)
         if not task.cancelled() and task.exception():
             _LOG.log("batch-not-accepted", cause=str(task.exception()))
 
-    def _owner(self, submission, digest, submitted_at, service):
+    def _new_owner(self, submission, digest, submitted_at, service):
         presence = self._presence
         return records.Owner(
             presence.vm_id,
@@ -224,7 +228,7 @@
             submission.model,
         )
 
-    def _open(self, route, submission, claim, adopted):
+    def _open(self, route, submission, claim, restored):
         """Open a batch, unless it was taken over first; return whether.
 
         The change of its owner was told while nobody held it here, and is
@@ -236,55 +240,55 @@
             return False
         loop = asyncio.get_running_loop()
         age_s = max(0.0, time.time() - claim.owner.submitted_at)
-        give_up_at = loop.time() + route.max_queue_s - age_s
-        batch = owned_batches.OwnedBatch(claim, route, submission, give_up_at)
-        results, batch.chunks, saved = adopted
-        batch.book.restore(results, saved)
+        abandon_at = loop.time() + route.max_queue_s - age_s
+        batch = owned_batches.OwnedBatch(claim, route, submission, abandon_at)
+        results, batch.chunks, saved = restored
+        batch.state.restore(results, saved)
         self._manager.open(batch)
         if batch_id in self._cluster_state.ended:
             self._manager.end(batch_id)
         return True
 
-    def _heard(self, lost, ended):
+    def _on_news(self, lost, ended):
         for batch_id in ended:
             self._manager.end(batch_id)
         if lost:
-            self.review()
+            self.check_all_owners()
 
     def is_ended(self, batch_id):
         """Return whether the store is known to say that a batch ended."""
         return batch_id in self._cluster_state.ended
 
-    def begin(self):
+    def start_takeovers(self):
         """Take over from now on: routes, owners and lives are known."""
-        self._may_take = True
-        self.review()
+        self._may_take_over = True
+        self.check_all_owners()
 
-    def review(self):
+    def check_all_owners(self):
         """Look for batches whose owner is gone, in the background."""
-        self._look_at(set(self._owners.claims_by_id))
+        self._check_ownership(set(self._owners.claims_by_id))
 
-    def _look_at(self, batch_ids):
+    def _check_ownership(self, batch_ids):
         """Drop those of the batches that are another's, take orphans.
 
         A batch whose owner isn't known yet is looked at once that is told.
         """
-        if not self._may_take:
+        if not self._may_take_over:
             return
         for batch_id in batch_ids:
             batch = self._manager.batches_by_id.get(batch_id)
             if batch and self._owners.is_superseded(batch_id, batch.claim):
                 self._start(self._drop(batch))
-            elif batch_id not in self._taking and self._may_be_orphan(
+            elif batch_id not in self._taking_over and self._may_be_orphan(
                 batch_id
             ):
-                self._taking.add(batch_id)
+                self._taking_over.add(batch_id)
                 self._start(self._take_over(batch_id))
 
     def _start(self, coroutine):
         task = asyncio.create_task(coroutine)
-        self._reviews.add(task)
-        task.add_done_callback(self._reviews.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _drop(self, batch):
         await self._manager.drop(batch, "another process owns it")
@@ -310,7 +314,7 @@
             await asyncio.sleep(self._grace_s(owner) + RANK_DELAY_S * rank)
             while self._may_be_orphan(batch_id):
                 try:
-                    if await self._take(batch_id):
+                    if await self._try_take_over(batch_id):
                         return
                 except exceptions.AnvilwellError as error:
                     _LOG.log(
@@ -320,7 +324,7 @@
                     )
                 await asyncio.sleep(RANK_DELAY_S)
         finally:
-            self._taking.discard(batch_id)
+            self._taking_over.discard(batch_id)
 
     def _grace_s(self, owner):
         """Return how long an owner that isn't registered is waited for.
@@ -346,18 +350,21 @@
 
     def _rank(self, batch_id, owner, incarnations_by_vm):
         """Return how many live processes should try before this one."""
-        mine = self._presence.vm_id
-        if owner.vm_id == mine:
+        own_vm_id = self._presence.vm_id
+        if owner.vm_id == own_vm_id:
             return 0
-        others = set(incarnations_by_vm) | {mine}
+        others = set(incarnations_by_vm) | {own_vm_id}
         home = self._homes.find(owner.service, owner.model)
         ranked = sorted(
             others,
-            key=lambda vm_id: (vm_id != home, _weight(batch_id, vm_id)),
+            key=lambda vm_id: (
+                vm_id != home,
+                _rendezvous_hash(batch_id, vm_id),
+            ),
         )
-        return ranked.index(mine) + (owner.vm_id in others)
+        return ranked.index(own_vm_id) + (owner.vm_id in others)
 
-    async def _take(self, batch_id):
+    async def _try_take_over(self, batch_id):
         """Take a batch if its owner is gone; return if that is settled.
 
         It is not if somebody else was quicker: while a batch is being taken
@@ -372,23 +379,23 @@
         if not self._is_orphan(batch_id, claim.owner, incarnations_by_vm):
             return False
         owner = claim.owner
-        mine = owner._replace(
+        new_owner = owner._replace(
             vm_id=self._presence.vm_id, incarnation=self._presence.incarnation
         )
         try:
-            claim = await self._store.claim(batch_id, claim, mine)
+            claim = await self._store.take_over(batch_id, claim, new_owner)
         except records.OwnedElsewhere:
             return False
         _LOG.log("batch-taken-over", batch_id=batch_id, owner=owner.vm_id)
         opened = asyncio.get_running_loop().create_future()
         self._opening[opened] = owner.submitted_at
         try:
-            return await self._adopt(batch_id, claim)
+            return await self._restore(batch_id, claim)
         finally:
             del self._opening[opened]
             opened.set_result(None)
 
-    async def _adopt(self, batch_id, claim):
+    async def _restore(self, batch_id, claim):
         """Open a batch of an earlier owner with what that left.
 
         Returns
@@ -396,10 +403,14 @@
         bool
             Whether there is no more to do.
         """
-        raw = await self._store.raw(batch_id, claim.owner.parts)
+        stored_submission = await self._store.submission(
+            batch_id, claim.owner.parts
+        )
         results, chunks = await self._store.results(batch_id)
         saved = await self._store.saved(batch_id)
-        submission = self._submission(self._dialect.stored_request(raw))
+        submission = self._submission(
+            self._dialect.stored_request(stored_submission)
+        )
         route = await self._route(submission)
         if route is None:
             _LOG.log("batch-without-route", batch_id=batch_id)
@@ -411,7 +422,7 @@
             if submitted_at < claim.owner.submitted_at
         ]
         if older:
-            await asyncio.wait(older, timeout=OLDER_FIRST_S)
+            await asyncio.wait(older, timeout=OLDER_BATCH_WAIT_S)
         return self._open(route, submission, claim, (results, chunks, saved))
 
     def _submission(self, request):
@@ -425,9 +436,9 @@
 
         One that is not known here may be new.
         """
-        place = submission.host, submission.path
-        known = self._manager.routes().find(*place)
-        return known or (await self._manager.newest_routes()).find(*place)
+        location = submission.host, submission.path
+        known = self._manager.routes().find(*location)
+        return known or (await self._manager.newest_routes()).find(*location)
 
     async def stop(self):
         """Take nothing over any more, once who waits has an answer.
@@ -435,9 +446,9 @@
         No submission waits for longer than `ACCEPT_TIMEOUT_S`.
         """
         self.is_draining = True
-        if self._resolving:
-            await asyncio.wait(self._resolving, timeout=ACCEPT_TIMEOUT_S)
-        await tasks.stop(*self._resolving, *self._reviews)
+        if self._pending_writes:
+            await asyncio.wait(self._pending_writes, timeout=ACCEPT_TIMEOUT_S)
+        await tasks.stop(*self._pending_writes, *self._tasks)
 
 
 def _ended_route(submission):
@@ -454,5 +465,5 @@
         )
 
 
-def _weight(batch_id, vm_id):
+def _rendezvous_hash(batch_id, vm_id):
     return xxhash.xxh3_64_intdigest(f"{batch_id}/{vm_id}".encode())
--- a/packages/gateway/anvilwell_gateway/batches/manager.py
+++ b/packages/gateway/anvilwell_gateway/batches/manager.py
@@ -10,8 +10,8 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
-_LEAVING = "this entry stops"
-_REPLACED = "this entry claimed the batch again"
+_STOPPING_CAUSE = "this entry stops"
+_REPLACED_CAUSE = "this entry claimed the batch again"
 
 _LOG = logs.get_logger(__name__)
 
@@ -54,7 +54,7 @@
         self._configuration = configuration
         self._sequence = 0
         self._tasks = set()
-        self.on_lost = _nothing
+        self.on_lost = _ignore
         self.batches_by_id = {}
         self._scoring_scheduler = scoring_schedulers.ScoringScheduler(
             forwarder, directory, configuration, dialect, self.batches_by_id
@@ -72,9 +72,9 @@
     def gauge_values(self):
         """Return how many batches and items this entry has."""
         batches = self.batches_by_id.values()
-        waiting = sum(len(batch.book.waiting_ids()) for batch in batches)
+        waiting = sum(len(batch.state.waiting_ids()) for batch in batches)
         running = sum(len(batch.runs_by_item) for batch in batches)
-        unscored = sum(len(batch.book.unscored_ids()) for batch in batches)
+        unscored = sum(len(batch.state.unscored_ids()) for batch in batches)
         return [
             measures.GaugeValue("batches", len(batches)),
             measures.GaugeValue("items_waiting", waiting),
@@ -111,50 +111,52 @@
         if known:
             if known.claim.revision >= batch.claim.revision:
                 return
-            self._keep_task(known.stop(_REPLACED))
+            self._start_task(known.stop(_REPLACED_CAUSE))
         self._sequence += 1
         batch.sequence = (batch.claim.owner.submitted_at, self._sequence)
         self.batches_by_id[batch.batch_id] = batch
-        committer = committing.Committer(self._store, batch, self._taken)
+        committer = committing.Committer(
+            self._store, batch, self._on_ownership_lost
+        )
         batch.committer = asyncio.create_task(committer.run())
         saver = saving.Saver(self._store, batch)
         batch.saver = asyncio.create_task(saver.run())
-        batch.has_ready.set()
+        batch.has_new_results.set()
         loop = asyncio.get_running_loop()
-        loop.call_at(batch.give_up_at, self._give_up, batch)
+        loop.call_at(batch.abandon_at, self._abandon, batch)
         _LOG.log(
             "batch-open",
             batch_id=batch.batch_id,
-            items=batch.book.total,
-            listed=len(batch.book.listed),
+            items=batch.state.total,
+            listed=len(batch.state.listed),
             min_version=batch.submission.min_version,
         )
         self._scheduler.schedule()
         self._scoring_scheduler.schedule()
 
-    def save_soon(self):
+    def retry_failed_saves(self):
         """Save what could not be, as the store answers again."""
         for batch in self.batches_by_id.values():
-            if batch.is_unsaved:
-                batch.to_save.set()
+            if batch.has_unsaved_texts:
+                batch.save_requested.set()
 
     def end(self, batch_id):
         """Stop a batch that its trainer has ended."""
         batch = self.batches_by_id.get(batch_id)
-        if batch is None or batch.book.is_ended:
+        if batch is None or batch.state.is_ended:
             return
-        batch.book.mark_ended()
+        batch.state.mark_ended()
         batch.cancel_runs("the batch ended")
-        self._keep_task(self._carry(batch))
+        self._start_task(self._carry(batch))
         _LOG.log(
             "batch-ended",
             batch_id=batch_id,
-            listed=len(batch.book.listed),
-            items=batch.book.total,
+            listed=len(batch.state.listed),
+            items=batch.state.total,
         )
         self._scheduler.schedule()
 
-    def _keep_task(self, coroutine):
+    def _start_task(self, coroutine):
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -165,7 +167,7 @@
         A trainer submits groups that were not whole again, and items of
         them then need only what they lack.
         """
-        saved = [one.save() for one in batch.texts()]
+        saved = [one.save() for one in batch.reusable_texts()]
         if not saved:
             return
         try:
@@ -179,7 +181,7 @@
                 cause=error.message,
             )
 
-    def forget(self, batch):
+    def remove(self, batch):
         """Answer for a batch no more; return whether it was answered for.
 
         A newer claim of the batch stays.
@@ -191,7 +193,7 @@
 
     async def drop(self, batch, cause):
         """Forget a batch that is another's now."""
-        if self.forget(batch):
+        if self.remove(batch):
             _LOG.log("batch-dropped", batch_id=batch.batch_id, cause=cause)
             await batch.stop(cause)
             self.on_lost()
@@ -207,14 +209,14 @@
         batches = list(self.batches_by_id.values())
         self.batches_by_id.clear()
         for batch in batches:
-            await batch.stop(_LEAVING)
+            await batch.stop(_STOPPING_CAUSE)
         self._scheduler.stop()
         self._scoring_scheduler.stop()
 
     async def _save(self, batch):
-        await batch.stop(_LEAVING)
-        saved = [one.save() for one in batch.texts()]
-        if batch.book.needs_no_runs or not saved:
+        await batch.stop(_STOPPING_CAUSE)
+        saved = [one.save() for one in batch.reusable_texts()]
+        if batch.state.needs_no_runs or not saved:
             return
         try:
             await self._store.save(batch.batch_id, saved)
@@ -224,15 +226,15 @@
             )
         _LOG.log("batch-let-go", batch_id=batch.batch_id, texts=len(saved))
 
-    def _taken(self, batch, cause):
-        self._keep_task(self.drop(batch, cause))
+    def _on_ownership_lost(self, batch, cause):
+        self._start_task(self.drop(batch, cause))
 
-    def _give_up(self, batch):
+    def _abandon(self, batch):
         if self.batches_by_id.get(batch.batch_id) is batch:
-            batch.book.abandon_rest()
+            batch.state.abandon_rest()
             batch.cancel_runs("the batch's time is over")
-            batch.has_ready.set()
+            batch.has_new_results.set()
 
 
-def _nothing():
+def _ignore():
     """Be told and do nothing."""
--- a/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
+++ b/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
@@ -30,29 +30,31 @@
         self._configuration = configuration
         self._homes = homes
         self._clock = asyncio.get_running_loop().time
-        self._looked_at = float("-inf")
+        self._refreshed_at = float("-inf")
         self._vms_by_service = {}
 
     def find(self, service):
         """Return the VMs that need notices of `service`; None is any."""
         now = self._clock()
-        if now - self._looked_at >= REFRESH_INTERVAL_S:
-            self._looked_at = now
-            self._vms_by_service = self._look()
+        if now - self._refreshed_at >= REFRESH_INTERVAL_S:
+            self._refreshed_at = now
+            self._vms_by_service = self._find_subscribers()
         if service is None:
             return sorted(set().union(*self._vms_by_service.values()))
         return sorted(self._vms_by_service.get(service, ()))
 
-    def _look(self):
+    def _find_subscribers(self):
         """Return the VMs that need notices, as vms_by_service."""
         incarnations_by_vm = self._cluster_state.incarnations_by_vm
         current = self._configuration.current
         routes = current.routes if current else ()
-        gathered = {
-            all_homes.service_of(one) for one in routes if one.is_batch
+        gathering_keys = {
+            all_homes.gathering_key(one) for one in routes if one.is_batch
         }
         pairs = {
-            (name, home) for name in gathered for home in self._homes.all(name)
+            (name, home)
+            for name in gathering_keys
+            for home in self._homes.all(name)
         }
         pairs |= {
             (claim.owner.service, claim.owner.vm_id)
@@ -62,6 +64,6 @@
         }
         vms_by_service = {}
         for name, vm_id in pairs:
-            for service in all_homes.services_in(name):
+            for service in all_homes.services_of_key(name):
                 vms_by_service.setdefault(service, set()).add(vm_id)
         return vms_by_service
--- a/packages/gateway/anvilwell_gateway/batches/owned_batch.py
+++ b/packages/gateway/anvilwell_gateway/batches/owned_batch.py
@@ -23,15 +23,15 @@
         Event-loop time at which the rest is given up.
     """
 
-    def __init__(self, claim, route, submission, give_up_at):
+    def __init__(self, claim, route, submission, abandon_at):
         self.claim = claim
         self.route = route
         self.submission = submission
-        self.give_up_at = give_up_at
-        submitted_at = give_up_at - route.max_queue_s
+        self.abandon_at = abandon_at
+        submitted_at = abandon_at - route.max_queue_s
         self.late_at = item_order.too_late_at(submitted_at, route.due_s)
         self.opened_at = asyncio.get_running_loop().time()
-        self.book = batch_states.BatchState(
+        self.state = batch_states.BatchState(
             submission, route.max_replicas, route.one_version
         )
         self.chunks = 0
@@ -44,14 +44,14 @@
         self.fingerprints_by_item = {}
         self.committer = None
         self.saver = None
-        self.has_ready = asyncio.Event()
-        self.to_save = asyncio.Event()
+        self.has_new_results = asyncio.Event()
+        self.save_requested = asyncio.Event()
         # A save has failed or is under way.
-        self.is_unsaved = False
+        self.has_unsaved_texts = False
         self._changed = asyncio.Event()
         self._is_stopped = False
-        self._is_known = asyncio.Event()
-        self._is_known.set()
+        self._no_write_pending = asyncio.Event()
+        self._no_write_pending.set()
 
     @property
     def batch_id(self):
@@ -59,18 +59,18 @@
         return self.submission.batch_id
 
     @property
-    def is_in_doubt(self):
+    def has_pending_write(self):
         """Whether the store may list more than the book."""
-        return not self._is_known.is_set()
+        return not self._no_write_pending.is_set()
 
     def begin_write(self):
         """Note that results may land from now on."""
-        self._is_known.clear()
+        self._no_write_pending.clear()
 
-    def list(self, results):
+    def mark_listed(self, results):
         """List results that are committed, and wake who waits."""
-        self.book.mark_listed(results)
-        self._is_known.set()
+        self.state.mark_listed(results)
+        self._no_write_pending.set()
         self._wake()
 
     def _wake(self):
@@ -84,23 +84,25 @@
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
-                while not self.has(position) and not self._is_stopped:
+                while (
+                    not self.covers_position(position) and not self._is_stopped
+                ):
                     await self._changed.wait()
 
-    def has(self, position):
+    def covers_position(self, position):
         """Return whether the book tells what will ever be at `position`.
 
         Nothing comes behind the last one, so a whole book tells of all.
         """
-        return len(self.book.listed) > min(position, self.book.total - 1)
+        return len(self.state.listed) > min(position, self.state.total - 1)
 
-    async def wait_known(self, wait_s):
+    async def wait_for_pending_write(self, wait_s):
         """Wait until no write is under way, at most `wait_s`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
-                await self._is_known.wait()
+                await self._no_write_pending.wait()
 
-    def texts(self, least_events=1):
+    def reusable_texts(self, min_events=1):
         """Return the `Progress` of the unlisted texts that can be used on.
 
         They are whole ones, and those that may be resumed and have at
@@ -109,9 +111,9 @@
         may_resume = self.route.is_resumable
         return [
             progress
-            for progress in self.book.unlisted_progress()
+            for progress in self.state.unlisted_progress()
             if progress.is_complete
-            or (may_resume and len(progress.events) >= least_events)
+            or (may_resume and len(progress.events) >= min_events)
         ]
 
     def cancel_runs(self, cause):
--- a/packages/gateway/anvilwell_gateway/batches/owner_client.py
+++ b/packages/gateway/anvilwell_gateway/batches/owner_client.py
@@ -25,8 +25,8 @@
 END_TARGET = "/batches/ended"
 # What an answer takes beyond the wait that was asked for, in seconds. An
 # owner that needs longer is passed by: the store has what it listed.
-MARGIN_S = 0.4
-MAX_ANSWER_BYTES = 2 << 20
+RESPONSE_MARGIN_S = 0.4
+MAX_RESPONSE_BYTES = 2 << 20
 
 _LOG = logs.get_logger(__name__)
 
@@ -101,21 +101,21 @@
         self._cluster_state = cluster_state
         self._pool = client.Pool(asyncio.get_running_loop().time, True)
 
-    async def ask(self, results_request):
+    async def read(self, results_request):
         """Return the owner's `Page`, or None if it gives none."""
-        vm_id = self._owner(results_request.batch_id)
+        vm_id = self._live_remote_owner(results_request.batch_id)
         if vm_id is None:
             return None
-        is_near = (
+        is_same_domain = (
             self._cluster_state.domains_by_vm[vm_id] == self._failure_domain
         )
-        results_request = results_request._replace(with_results=is_near)
+        results_request = results_request._replace(with_results=is_same_domain)
         try:
             body = await self._send(
                 vm_id,
                 TARGET,
                 results_request,
-                results_request.wait_s + MARGIN_S,
+                results_request.wait_s + RESPONSE_MARGIN_S,
             )
             return _RESULTS_PAGE.validate_python(cbor2.loads(body))
         except (
@@ -133,11 +133,11 @@
 
     async def end(self, batch_id):
         """Tell the owner of a batch, if it lives, that the batch ended."""
-        vm_id = self._owner(batch_id)
+        vm_id = self._live_remote_owner(batch_id)
         if vm_id is None:
             return
         try:
-            await self._send(vm_id, END_TARGET, batch_id, MARGIN_S)
+            await self._send(vm_id, END_TARGET, batch_id, RESPONSE_MARGIN_S)
         except exceptions.BackendFailed as error:
             _LOG.log(
                 "owner-not-told",
@@ -154,10 +154,10 @@
             self._cluster_state.addresses_by_vm[vm_id],
             target,
             content,
-            peer_calls.CallLimits(timeout_s, MAX_ANSWER_BYTES),
+            peer_calls.CallLimits(timeout_s, MAX_RESPONSE_BYTES),
         )
 
-    def _owner(self, batch_id):
+    def _live_remote_owner(self, batch_id):
         """Return another VM that owns a batch and lives, or None."""
         claim = self._owners.claims_by_id.get(batch_id)
         if claim is None or claim.owner.vm_id == self._vm_id:
--- a/packages/gateway/anvilwell_gateway/batches/owners.py
+++ b/packages/gateway/anvilwell_gateway/batches/owners.py
@@ -43,18 +43,18 @@
         self.loaded_at = asyncio.get_running_loop().time()
         self.claims_by_id = {}
         for key, entry in entries_by_key.items():
-            self._take(key, entry.value, entry.revision)
-        self._tell(set(self.claims_by_id))
+            self._store_claim(key, entry.value, entry.revision)
+        self._notify(set(self.claims_by_id))
 
     def change(self, change):
         """Take one batch's owner."""
         batch_id = change.key.removeprefix(records.OWNER_PREFIX)
         self.claims_by_id.pop(batch_id, None)
         if change.value is not None:
-            self._take(change.key, change.value, change.revision)
-            self._tell({batch_id})
+            self._store_claim(change.key, change.value, change.revision)
+            self._notify({batch_id})
 
-    def _take(self, key, value, revision):
+    def _store_claim(self, key, value, revision):
         batch_id = key.removeprefix(records.OWNER_PREFIX)
         try:
             claim = records.read_claim(value, revision)
@@ -64,6 +64,6 @@
             return
         self.claims_by_id[batch_id] = claim
 
-    def _tell(self, batch_ids):
+    def _notify(self, batch_ids):
         for callback in self._listeners:
             callback(batch_ids)
--- a/packages/gateway/anvilwell_gateway/batches/reader.py
+++ b/packages/gateway/anvilwell_gateway/batches/reader.py
@@ -49,7 +49,7 @@
         """
         cached = self._cached_by_id.get(batch_id)
         if cached is None:
-            claim = await self._claim(batch_id)
+            claim = await self._find_claim(batch_id)
             if claim is None:
                 return None
             cached = CachedBatch(claim.owner.total, [], 0, claim.owner.parts)
@@ -62,7 +62,7 @@
         self._cache(self._cached_by_id, batch_id, cached)
         return cached.total, cached.results[after:]
 
-    def listed(self, batch_id):
+    def cached_count(self, batch_id):
         """Return how many results of a batch have been read here."""
         cached = self._cached_by_id.get(batch_id)
         return len(cached.results) if cached else 0
@@ -71,12 +71,14 @@
         """Return the body of an item, or None if there is none."""
         items = self._items_by_batch.get(batch_id)
         if items is None:
-            claim = await self._claim(batch_id)
+            claim = await self._find_claim(batch_id)
             if claim is None:
                 return None
-            raw = await self._store.raw(batch_id, claim.owner.parts)
+            stored_submission = await self._store.submission(
+                batch_id, claim.owner.parts
+            )
             submission = self._dialect.read_submission(
-                self._dialect.stored_request(raw)
+                self._dialect.stored_request(stored_submission)
             )
             items = {item.item_id: item.body for item in submission.items}
         self._cache(self._items_by_batch, batch_id, items)
@@ -86,9 +88,9 @@
         """Return whether the batch was ever accepted."""
         if batch_id in self._cached_by_id:
             return True
-        return await self._claim(batch_id) is not None
+        return await self._find_claim(batch_id) is not None
 
-    async def _claim(self, batch_id):
+    async def _find_claim(self, batch_id):
         """Return the `records.Claimed` of a batch, None if there is none.
 
         What was written with a batch never changes, so an old owner will
--- a/packages/gateway/anvilwell_gateway/batches/records.py
+++ b/packages/gateway/anvilwell_gateway/batches/records.py
@@ -96,17 +96,19 @@
     async def owner(self, batch_id):
         """Return the `Claimed` of a batch, or None if there is none."""
         entry = await self._store.get(f"{OWNER_PREFIX}{batch_id}")
-        return entry and _read_entry(entry)
+        return entry and _claim_in(entry)
 
     async def owners(self):
         """Return the `Claimed` of every batch as claimed_by_id."""
         snapshot = await self._store.get_prefix(OWNER_PREFIX)
         return {
-            key.removeprefix(OWNER_PREFIX): _read_entry(entry)
+            key.removeprefix(OWNER_PREFIX): _claim_in(entry)
             for key, entry in snapshot.entries_by_key.items()
         }
 
-    async def accept(self, batch_id, owner, raw, timeout_s, refusal_timeout_s):
+    async def accept(
+        self, batch_id, owner, stored_submission, timeout_s, refusal_timeout_s
+    ):
         """Write a new batch whole; return the `Claimed` that is there.
 
         It is another's if that was accepted before. The times are those
@@ -117,7 +119,7 @@
         exceptions.KeyValueUnavailable
             With ``NOT_RUN`` only if the write can never land.
         """
-        value = _dump(raw)
+        value = _dump(stored_submission)
         parts = [
             value[start : start + MAX_VALUE_BYTES]
             for start in range(0, len(value), MAX_VALUE_BYTES)
@@ -136,9 +138,9 @@
         )
         if result.landed:
             return Claim(owner, result.revision)
-        return _read_entry(result.entries_by_key[key])
+        return _claim_in(result.entries_by_key[key])
 
-    async def claim(self, batch_id, claim, owner):
+    async def take_over(self, batch_id, claim, owner):
         """Take over a batch from a dead owner; return the `Claimed`.
 
         Raises
@@ -154,11 +156,11 @@
         if result.landed:
             return Claim(owner, result.revision)
         entry = result.entries_by_key.get(key)
-        if entry is not None and _read_entry(entry).owner == owner:
+        if entry is not None and _claim_in(entry).owner == owner:
             return Claim(owner, entry.revision)
         raise OwnedElsewhere(f"batch {batch_id} was taken by another process")
 
-    async def raw(self, batch_id, parts):
+    async def submission(self, batch_id, parts):
         """Return the `Raw` submission of a batch."""
         found = [
             await self._store.get(_part_key(batch_id, number))
@@ -214,7 +216,7 @@
 
     async def save(self, batch_id, saved):
         """Keep the texts of unlisted items for the next owner."""
-        value = _dump(_fitting(saved))
+        value = _dump(_fit_saved(saved))
         await self._store.put(f"{SAVED_PREFIX}{batch_id}", value)
 
     async def saved(self, batch_id):
@@ -229,7 +231,7 @@
         items may have the same ids.
         """
         key = _carried_key(route, organisation)
-        await self._store.put(key, _dump(_fitting(saved)))
+        await self._store.put(key, _dump(_fit_saved(saved)))
 
     async def carried(self, route, organisation):
         """Return what an organisation's last batch left unfinished."""
@@ -271,24 +273,24 @@
         raise UnreadableOwner(f"no owner: {error}") from error
 
 
-def _read_entry(entry):
+def _claim_in(entry):
     return read_claim(entry.value, entry.revision)
 
 
 def _carried_key(route, organisation):
-    place = f"{route.host}{route.path_prefix}"
-    place = organisations.owned_id(organisation, place)
-    name = xxhash.xxh3_64_hexdigest(place.encode())
+    location = f"{route.host}{route.path_prefix}"
+    location = organisations.owned_id(organisation, location)
+    name = xxhash.xxh3_64_hexdigest(location.encode())
     return f"{CARRIED_PREFIX}{name}"
 
 
-def _fitting(saved):
+def _fit_saved(saved):
     """Return the longest texts that fit into one value together."""
     found = []
-    room = MAX_VALUE_BYTES
+    free_bytes = MAX_VALUE_BYTES
     for one in sorted(saved, key=lambda one: -len(one.events)):
-        room -= sum(map(len, one.events)) + len(one.events) * 8 + 200
-        if room < 0:
+        free_bytes -= sum(map(len, one.events)) + len(one.events) * 8 + 200
+        if free_bytes < 0:
             break
         found.append(one)
     return tuple(found)
--- a/packages/gateway/anvilwell_gateway/batches/request_handler.py
+++ b/packages/gateway/anvilwell_gateway/batches/request_handler.py
@@ -17,14 +17,14 @@
 MAX_PAGE_BYTES = 900 << 10
 # What an owner passes on to an entry in another failure domain: below this
 # a call to the store is dearer than the bytes between domains.
-MAX_FAR_BYTES = 64 << 10
+MAX_REMOTE_BYTES = 64 << 10
 # When a trainer may come back while the store gives no answer. Outages
 # last for seconds and trainers come back once, so not at once.
 STORE_RETRY_AFTER_S = 2.5
 END_TIMEOUT_S = 2.0
 # A write that takes longer may have landed without an answer; many times
 # the store's usual answer.
-DOUBT_S = 0.1
+PENDING_WRITE_WAIT_S = 0.1
 
 _LOG = logs.get_logger(__name__)
 _JSON = ("Content-Type", "application/json")
@@ -90,10 +90,10 @@
         _measure(request, 202)
         await responder.send(202, (), b"")
 
-    async def submit_peer(self, route, request, responder):
+    async def submit_forwarded(self, route, request, responder):
         """Accept a batch that another entry was given; say what it may."""
         try:
-            await self._intake.take(route, request)
+            await self._intake.accept_here(route, request)
         except exceptions.AnvilwellError as error:
             status = _status(error)
             _LOG.log("batch-not-taken-in", status=status, cause=error.message)
@@ -101,15 +101,15 @@
             return
         await responder.send(202)
 
-    async def answer(self, call, request_id, responder):
+    async def handle(self, call, request_id, responder):
         """Answer a `dialect.BatchCall`."""
-        answers_by_verb = {
+        handlers_by_verb = {
             dialects.BatchVerb.READ: self._read,
             dialects.BatchVerb.BODY: self._body,
             dialects.BatchVerb.END: self._end,
         }
         try:
-            await answers_by_verb[call.verb](call, responder)
+            await handlers_by_verb[call.verb](call, responder)
         except exceptions.AnvilwellError as error:
             if responder.has_started:
                 raise
@@ -148,23 +148,25 @@
         results_request = owner_clients.ResultsRequest(
             call.batch_id, call.after, call.wait_s
         )
-        found, source = await self._own_page(results_request), "memory"
+        found, source = await self._local_page(results_request), "memory"
         if found is None and not is_owner:
             found, source = (
-                await self._owner_client.ask(results_request),
+                await self._owner_client.read(results_request),
                 "owner",
             )
         if found is None or not found.results:
-            told, found = (
+            reported, found = (
                 found,
                 await self._stored_page(results_request, found),
             )
-            source = source if told is found else "store"
+            source = source if reported is found else "store"
         if found is None:
             await self._not_found(call, responder)
             return
         total, results = found.total, found.results or ()
-        page = sizes.fitting(results, self._budget.page_bytes(MAX_PAGE_BYTES))
+        page = sizes.fit_results(
+            results, self._budget.page_bytes(MAX_PAGE_BYTES)
+        )
         _LOG.routine(
             "batch-read",
             batch_id=call.batch_id,
@@ -178,7 +180,7 @@
         )
         await responder.send(200, (_JSON,), body)
 
-    async def _own_page(self, results_request):
+    async def _local_page(self, results_request):
         """Return the `passing.Page` of a batch of ours.
 
         None if it is not ours, or if only the store can say whether there
@@ -187,43 +189,43 @@
         batch = self._manager.batches_by_id.get(results_request.batch_id)
         if batch is None:
             return None
-        if results_request.wait_s and not batch.book.is_ended:
+        if results_request.wait_s and not batch.state.is_ended:
             await batch.wait_listed(
                 results_request.after, results_request.wait_s
             )
-        if not batch.has(results_request.after):
-            await batch.wait_known(DOUBT_S)
-        if not batch.has(results_request.after) and not self._is_certain(
-            batch
-        ):
+        if not batch.covers_position(results_request.after):
+            await batch.wait_for_pending_write(PENDING_WRITE_WAIT_S)
+        if not batch.covers_position(
+            results_request.after
+        ) and not self._is_authoritative(batch):
             return None
-        listed = batch.book.listed
+        listed = batch.state.listed
         return owner_clients.ResultsPage(
-            batch.book.total,
+            batch.state.total,
             len(listed),
             tuple(listed[results_request.after :]),
         )
 
-    def _is_certain(self, batch):
+    def _is_authoritative(self, batch):
         """Return whether nothing is listed but what the book has."""
         if self._manager.batches_by_id.get(batch.batch_id) is not batch:
             return False
         if self._owners.is_superseded(batch.batch_id, batch.claim):
             return False
-        return not batch.is_in_doubt and self._can_confirm_ownership()
+        return not batch.has_pending_write and self._can_confirm_ownership()
 
-    async def _stored_page(self, results_request, told):
+    async def _stored_page(self, results_request, reported):
         """Return the `passing.Page` from the store, or None.
 
         What the owner `told` saves the call if there is nothing new.
         """
-        known = self._reader.listed(results_request.batch_id)
-        if told and max(told.listed, known) <= results_request.after:
-            return told
+        known = self._reader.cached_count(results_request.batch_id)
+        if reported and max(reported.listed, known) <= results_request.after:
+            return reported
         found = await self._reader.read(
             results_request.batch_id,
             results_request.after,
-            told and told.listed,
+            reported and reported.listed,
         )
         if found is None:
             return None
@@ -232,23 +234,23 @@
             total, results_request.after + len(results), results
         )
 
-    async def answer_peer(self, request, responder):
+    async def read_for_peer(self, request, responder):
         """Answer another entry's question for results of our batches."""
         results_request = owner_clients.read_results_request(request.body)
-        page = await self._own_page(results_request)
+        page = await self._local_page(results_request)
         if page is None:
             raise exceptions.NotFound("only the store can tell")
         results = None
-        is_little = sizes.size(page.results) <= MAX_FAR_BYTES
-        if results_request.with_results or is_little:
-            results = tuple(sizes.fitting(page.results, MAX_PAGE_BYTES))
+        is_small = sizes.total_bytes(page.results) <= MAX_REMOTE_BYTES
+        if results_request.with_results or is_small:
+            results = tuple(sizes.fit_results(page.results, MAX_PAGE_BYTES))
         body = cbor2.dumps(page._replace(results=results))
         await responder.send(200, (), body)
 
     async def _body(self, call, responder):
         batch = self._manager.batches_by_id.get(call.batch_id)
         if batch is not None:
-            item = batch.book.items_by_id.get(call.item_id)
+            item = batch.state.items_by_id.get(call.item_id)
             body = item.body if item else None
         else:
             body = await self._reader.body(call.batch_id, call.item_id)
--- a/packages/gateway/anvilwell_gateway/batches/retention.py
+++ b/packages/gateway/anvilwell_gateway/batches/retention.py
@@ -66,14 +66,14 @@
         old = [
             batch
             for batch in self._manager.batches_by_id.values()
-            if batch.book.needs_no_runs
+            if batch.state.needs_no_runs
             and now - batch.opened_at > _retention_s(batch)
         ]
         for batch in old:
             owner = batch.claim.owner
             if not await self._remove(batch.batch_id, owner, batch.chunks):
                 return
-            self._manager.forget(batch)
+            self._manager.remove(batch)
             await batch.stop("the batch is deleted")
         await self._remove_orphaned(now)
 
@@ -129,4 +129,4 @@
 
 
 def _retention_s(batch):
-    return ENDED_RETENTION_S if batch.book.is_ended else OPEN_RETENTION_S
+    return ENDED_RETENTION_S if batch.state.is_ended else OPEN_RETENTION_S
--- a/packages/gateway/anvilwell_gateway/batches/runner.py
+++ b/packages/gateway/anvilwell_gateway/batches/runner.py
@@ -12,7 +12,7 @@
 from anvilwell_kernel import reasons
 
 
-class End(enum.StrEnum):
+class RunEnd(enum.StrEnum):
     """How a run ended."""
 
     WHOLE = "whole"
@@ -27,19 +27,19 @@
     STOPPED = "stopped"
 
 
-class Ended(typing.NamedTuple):
+class RunResult(typing.NamedTuple):
     """A run's end; ``version`` is what the replica named, 0 if none.
 
     ``is_cut`` tells that its connection ended without a whole answer.
     """
 
-    end: End
+    end: RunEnd
     version: int = 0
     cause: str = ""
     is_cut: bool = False
 
 
-class Order(typing.NamedTuple):
+class RunRequest(typing.NamedTuple):
     """What to run: an item, its text so far, and bounds."""
 
     item: typing.Any
@@ -77,7 +77,7 @@
         )
         return messages.fingerprint(request)
 
-    async def run(self, order, replica, pace):
+    async def run(self, run_request, replica, pace):
         """Run `order` at `replica` and return how that `Ended`.
 
         The replica's ``pace`` (`paces.Pace`) is told the load that its head
@@ -89,48 +89,54 @@
                 replica.replica_id, replica.address
             )
         except exceptions.AnvilwellError as error:
-            return Ended(End.UNREACHABLE, cause=error.message)
+            return RunResult(RunEnd.UNREACHABLE, cause=error.message)
         reply = None
-        ended = Ended(End.STOPPED)
+        result = RunResult(RunEnd.STOPPED)
         try:
-            reply, ended = await self._run(connection, order, replica, pace)
+            reply, result = await self._run(
+                connection, run_request, replica, pace
+            )
         except exceptions.AnvilwellError as error:
             is_cut = error.reason is reasons.Refusal.ANSWER_CUT
-            ended = Ended(End.BROKEN, cause=error.message, is_cut=is_cut)
+            result = RunResult(
+                RunEnd.BROKEN, cause=error.message, is_cut=is_cut
+            )
         except TimeoutError:
-            ended = Ended(End.STALLED)
+            result = RunResult(RunEnd.STALLED)
         finally:
-            if reply and ended.end in (End.WHOLE, End.REFUSED):
+            if reply and result.end in (RunEnd.WHOLE, RunEnd.REFUSED):
                 self._pool.release(replica.replica_id, connection, reply)
             else:
                 connection.close()
-        return ended
+        return result
 
-    async def _run(self, connection, order, replica, pace):
+    async def _run(self, connection, run_request, replica, pace):
         headers = self._dialect.replica_headers(
-            self._dialect.item_headers(order.item, order.host),
+            self._dialect.item_headers(run_request.item, run_request.host),
             replica.name,
-            order.timeout_s,
-            order.progress.last_number,
-            order.organisation,
+            run_request.timeout_s,
+            run_request.progress.last_number,
+            run_request.organisation,
+        )
+        connection.send(
+            "POST", run_request.item.target, headers, run_request.item.body
         )
-        connection.send("POST", order.item.target, headers, order.item.body)
         async with asyncio.timeout(events.STALL_TIMEOUT_S):
             reply = await connection.read_head()
         outcome = self._dialect.read_response_head(reply)
         if outcome.load:
             pace.record_load(outcome.load, asyncio.get_running_loop().time())
-        ended = _judge(reply, outcome, order)
-        if ended is None:
+        result = _classify_response_head(reply, outcome, run_request)
+        if result is None:
             return await self._read(
-                connection, order, reply, outcome.version, pace
+                connection, run_request, reply, outcome.version, pace
             )
-        if ended.end is End.REFUSED:
+        if result.end is RunEnd.REFUSED:
             async with asyncio.timeout(events.STALL_TIMEOUT_S):
                 await connection.read_body(events.MAX_BLOCK_BYTES)
-        return reply, ended
+        return reply, result
 
-    async def _read(self, connection, order, reply, version, pace):
+    async def _read(self, connection, run_request, reply, version, pace):
         """Collect events until the stream ends."""
         loop = asyncio.get_running_loop()
         buffered = b""
@@ -149,9 +155,9 @@
                 if event is None:
                     continue
                 version = event.version or version
-                if not _may_use(version, order):
-                    return reply, Ended(End.TOO_OLD, version)
-                _add(order.progress, event, version)
+                if not _is_version_allowed(version, run_request):
+                    return reply, RunResult(RunEnd.TOO_OLD, version)
+                _add_event(run_request.progress, event, version)
                 now = loop.time()
                 if last_at is not None:
                     pace.record_gap(now - last_at, now)
@@ -160,37 +166,41 @@
             raise client.call_error(
                 "the stream ends within an event", reasons.Refusal.ANSWER_CUT
             )
-        return reply, Ended(End.WHOLE, version)
+        return reply, RunResult(RunEnd.WHOLE, version)
 
 
-def _add(progress, event, version):
+def _add_event(progress, event, version):
     try:
         progress.add(event, version)
     except progresses.EventGap as error:
         raise client.call_error(f"events are missing: {error}") from error
 
 
-def _may_use(version, order):
-    if version < order.min_version:
+def _is_version_allowed(version, run_request):
+    if version < run_request.min_version:
         return False
-    versions = order.progress.versions
-    return not (order.one_version and versions and version not in versions)
+    versions = run_request.progress.versions
+    return not (
+        run_request.one_version and versions and version not in versions
+    )
 
 
-def _judge(reply, outcome, order):
+def _classify_response_head(reply, outcome, run_request):
     """Return how the head ends the run, or None if it goes on."""
-    if outcome.request_id not in ("", order.item.item_id):
-        return Ended(End.BROKEN, cause="the answer is another request's")
+    if outcome.request_id not in ("", run_request.item.item_id):
+        return RunResult(
+            RunEnd.BROKEN, cause="the answer is another request's"
+        )
     if outcome.is_other:
-        return Ended(End.OTHER_REPLICA, outcome.version)
+        return RunResult(RunEnd.OTHER_REPLICA, outcome.version)
     if outcome.not_run:
-        return Ended(End.REFUSED, outcome.version, str(reply.status))
+        return RunResult(RunEnd.REFUSED, outcome.version, str(reply.status))
     if reply.status == 500:
-        return Ended(End.FAILED, cause="500")
+        return RunResult(RunEnd.FAILED, cause="500")
     if reply.status == 422:
-        return Ended(End.IMPOSSIBLE, cause="422")
+        return RunResult(RunEnd.IMPOSSIBLE, cause="422")
     if reply.status != 200 or not outcome.is_sealed:
-        return Ended(End.BROKEN, cause=f"status {reply.status}")
-    if not _may_use(outcome.version, order):
-        return Ended(End.TOO_OLD, outcome.version)
+        return RunResult(RunEnd.BROKEN, cause=f"status {reply.status}")
+    if not _is_version_allowed(outcome.version, run_request):
+        return RunResult(RunEnd.TOO_OLD, outcome.version)
     return None
--- a/packages/gateway/anvilwell_gateway/batches/saving.py
+++ b/packages/gateway/anvilwell_gateway/batches/saving.py
@@ -39,26 +39,27 @@
         while not self._is_settled:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(SAVE_INTERVAL_S):
-                    await batch.to_save.wait()
-            batch.to_save.clear()
+                    await batch.save_requested.wait()
+            batch.save_requested.clear()
             await self._save()
 
     @property
     def _is_settled(self):
-        return self._batch.book.needs_no_runs
+        return self._batch.state.needs_no_runs
 
     async def _save(self):
-        texts = self._batch.texts(MIN_SAVED_EVENTS)
+        reusable_texts = self._batch.reusable_texts(MIN_SAVED_EVENTS)
         size = (
-            sum(len(progress.events) for progress in texts),
-            sum(progress.score is not None for progress in texts),
+            sum(len(progress.events) for progress in reusable_texts),
+            sum(progress.score is not None for progress in reusable_texts),
         )
         if self._is_settled or size == self._saved_size:
             return
-        self._batch.is_unsaved = True
+        self._batch.has_unsaved_texts = True
         try:
             await self._store.save(
-                self._batch.batch_id, [progress.save() for progress in texts]
+                self._batch.batch_id,
+                [progress.save() for progress in reusable_texts],
             )
         except exceptions.AnvilwellError as error:
             _LOG.log(
@@ -67,5 +68,5 @@
                 cause=error.message,
             )
             return
-        self._batch.is_unsaved = False
+        self._batch.has_unsaved_texts = False
         self._saved_size = size
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -23,20 +23,20 @@
 RETRY_S = 0.1
 # Notices of so many seconds share a look: with 223 agents there are
 # hundreds a second.
-GATHER_S = 0.01
+NOTICE_DELAY_S = 0.01
 # Looking takes at most so much of an entry's time: with thousands of items
 # one ends every few milliseconds, and the events of all others wait.
-LARGEST_SHARE = 0.2
+MAX_TIME_SHARE = 0.2
 
 _RETRIES_BY_END = {
-    runners.End.REFUSED: reasons.Retry.REFUSED_NOT_RUN,
-    runners.End.OTHER_REPLICA: reasons.Retry.DRAINED,
-    runners.End.TOO_OLD: reasons.Retry.STALE_VERSION,
-    runners.End.FAILED: reasons.Retry.BACKEND_FAILED,
-    runners.End.IMPOSSIBLE: reasons.Retry.BACKEND_FAILED,
-    runners.End.BROKEN: reasons.Retry.STREAM_RESUMED,
-    runners.End.UNREACHABLE: reasons.Retry.CONNECT_FAILED,
-    runners.End.STALLED: reasons.Retry.STREAM_RESUMED,
+    runners.RunEnd.REFUSED: reasons.Retry.REFUSED_NOT_RUN,
+    runners.RunEnd.OTHER_REPLICA: reasons.Retry.DRAINED,
+    runners.RunEnd.TOO_OLD: reasons.Retry.STALE_VERSION,
+    runners.RunEnd.FAILED: reasons.Retry.BACKEND_FAILED,
+    runners.RunEnd.IMPOSSIBLE: reasons.Retry.BACKEND_FAILED,
+    runners.RunEnd.BROKEN: reasons.Retry.STREAM_RESUMED,
+    runners.RunEnd.UNREACHABLE: reasons.Retry.CONNECT_FAILED,
+    runners.RunEnd.STALLED: reasons.Retry.STREAM_RESUMED,
 }
 
 _LOG = logs.get_logger(__name__)
@@ -69,7 +69,7 @@
         configuration,
         runner,
         batches_by_id,
-        on_text,
+        on_text_complete,
         crash_tracker,
         slot_sharing,
     ):
@@ -78,22 +78,22 @@
         self._configuration = configuration
         self._runner = runner
         self._batches_by_id = batches_by_id
-        self._on_text = on_text
+        self._on_text_complete = on_text_complete
         self._dispatch = dispatches.Dispatcher()
         self._move_history = moves.MoveHistory()
         self._slot_sharing = slot_sharing
-        slot_sharing.use_of = self._use
+        slot_sharing.usage_of = self._slot_usage
         slot_sharing.on_change = self._limits_changed
         self._waiting_by_service = collections.Counter()
         # When places were last dealt, in event-loop time.
-        self._dealt_at = float("-inf")
+        self._limits_refreshed_at = float("-inf")
         # Services that batches held here have had items for.
         self._services = set()
         # Replicas that changed since they were all looked at.
         self._changed_ids = set()
-        self._is_behind = True
+        self._needs_full_update = True
         # When the next look for an end may be, in event-loop time.
-        self._not_before = float("-inf")
+        self._next_pass_at = float("-inf")
         self._timer = timers.Timer(self.schedule)
         directory.listen(self._replicas_changed)
         configuration.listen(self.schedule)
@@ -108,28 +108,28 @@
         if changed.is_membership:
             self.schedule()
         else:
-            self._timer.schedule_within(GATHER_S)
+            self._timer.schedule_within(NOTICE_DELAY_S)
 
     def schedule(self):
         """Start whatever can start now."""
         self._timer.cancel()
         loop = asyncio.get_running_loop()
-        began_at = loop.time()
-        has_work = self._look(began_at)
-        took_s = loop.time() - began_at
-        self._not_before = began_at + took_s / LARGEST_SHARE
+        started_at = loop.time()
+        has_work = self._run_pass(started_at)
+        took_s = loop.time() - started_at
+        self._next_pass_at = started_at + took_s / MAX_TIME_SHARE
         if has_work:
             self._timer.schedule_in(RETRY_S)
 
-    def _look_soon(self):
+    def _schedule_soon(self):
         """Look once after what happens now, but not all the time."""
-        wait_s = self._not_before - asyncio.get_running_loop().time()
+        wait_s = self._next_pass_at - asyncio.get_running_loop().time()
         if wait_s > 0:
             self._timer.schedule_within(wait_s)
         else:
             self._timer.schedule_soon()
 
-    def _look(self, now):
+    def _run_pass(self, now):
         """Start what can start; return whether anything waits or runs.
 
         With nothing to run there is nothing to look at.
@@ -137,36 +137,36 @@
         waiting = sorted(
             work
             for batch in self._batches_by_id.values()
-            for work in self._works(batch)
+            for work in self._waiting_items(batch)
         )
         has_runs = any(h.runs_by_item for h in self._batches_by_id.values())
         if not waiting and not has_runs:
-            self._is_behind = True
+            self._needs_full_update = True
             self._changed_ids.clear()
             self._waiting_by_service.clear()
             return False
         # What runs has waited before.
-        self._learn_replicas({work.service for work in waiting})
-        self._deal(now)
+        self._update_replicas({work.service for work in waiting})
+        self._refresh_limits(now)
         self._move(now)
         self._waiting_by_service = collections.Counter(
             work.service for work in waiting if not self._start(work, now)
         )
         for service in self._services:
-            self._slot_sharing.ask(service)
+            self._slot_sharing.request_slots(service)
         return True
 
-    def _deal(self, now):
+    def _refresh_limits(self, now):
         """Take which places may be used, as homes and loans are now."""
-        if now - self._dealt_at < RETRY_S:
+        if now - self._limits_refreshed_at < RETRY_S:
             return
-        self._dealt_at = now
-        if self._slot_sharing.look(self._services):
+        self._limits_refreshed_at = now
+        if self._slot_sharing.update_homes(self._services):
             self._dispatch.set_limits(self._slot_sharing.limit)
 
-    def _use(self, service):
+    def _slot_usage(self, service):
         """Return the `sharings.Use` of a service's places."""
-        self._learn_replicas({service})
+        self._update_replicas({service})
         return slot_sharings.SlotUsage(
             self._waiting_by_service[service],
             self._dispatch.workers(service),
@@ -176,13 +176,13 @@
         """Start what may start now that other places may be used."""
         self._dispatch.set_limits(self._slot_sharing.limit)
         if self._waiting_by_service.total():
-            self._look_soon()
+            self._schedule_soon()
 
-    def _learn_replicas(self, services):
+    def _update_replicas(self, services):
         """Take in the replicas that changed, all of another service."""
         changed_ids, self._changed_ids = self._changed_ids, set()
-        if self._is_behind or services - self._services:
-            self._is_behind = False
+        if self._needs_full_update or services - self._services:
+            self._needs_full_update = False
             self._services |= services
             self._dispatch.set_replicas(
                 replica
@@ -201,7 +201,7 @@
         """Stop runs that should go on at a faster replica."""
         runs = [
             run._replace(
-                events=batch.book.progress_by_id[run.item_id].last_number
+                events=batch.state.progress_by_id[run.item_id].last_number
             )
             for batch in self._batches_by_id.values()
             for run in batch.runs_by_item.values()
@@ -229,7 +229,7 @@
 
     def _may_move(self, run):
         batch = self._batches_by_id[run.batch_id]
-        return not batch.book.is_ended and batch.route.is_resumable
+        return not batch.state.is_ended and batch.route.is_resumable
 
     def _tokens_by_service(self):
         """Return what an engine of each service can hold, in tokens."""
@@ -239,12 +239,12 @@
             name: service.memory_tokens for name, service in services.items()
         }
 
-    def _works(self, batch):
+    def _waiting_items(self, batch):
         """Return a `WaitingItem` for each item of `held` that should run."""
-        book = batch.book
+        state = batch.state
         items = [
-            book.items_by_id[item_id]
-            for item_id in book.waiting_ids()
+            state.items_by_id[item_id]
+            for item_id in state.waiting_ids()
             if not self._is_held_back(batch, item_id)
         ]
         if not items:
@@ -269,7 +269,7 @@
                 batch.submission.min_version,
                 batch.route.name,
                 item.expected_tokens,
-                batch.book.progress_by_id[item.item_id].last_number,
+                batch.state.progress_by_id[item.item_id].last_number,
                 item.prompt,
             )
             for item in items
@@ -286,13 +286,13 @@
         known = batch.fingerprints_by_item
         if item_id not in known:
             known[item_id] = self._runner.fingerprint(
-                batch.book.items_by_id[item_id], batch.submission
+                batch.state.items_by_id[item_id], batch.submission
             )
         return known[item_id]
 
     @staticmethod
     def _has_text(batch, item):
-        return bool(batch.book.progress_by_id[item.item_id].events)
+        return bool(batch.state.progress_by_id[item.item_id].events)
 
     def _service(self, batch):
         """Return the service that takes the batch's items now."""
@@ -300,8 +300,8 @@
             batch.submission.host, batch.submission.path
         )
         if route is None:
-            batch.book.abandon_rest()
-            batch.has_ready.set()
+            batch.state.abandon_rest()
+            batch.has_new_results.set()
             return None
         if not table.may_take(route, batch.service):
             batch.service = table.choose_service(route, random)
@@ -313,10 +313,10 @@
         if replica_id is None:
             return False
         batch = self._batches_by_id[work.batch_id]
-        batch.book.mark_running(work.item_id)
+        batch.state.mark_running(work.item_id)
         worker = self._dispatch.worker(replica_id)
         self._dispatch.record_assignment(work, replica_id)
-        progress = batch.book.progress_by_id[work.item_id]
+        progress = batch.state.progress_by_id[work.item_id]
         if not batch.route.is_resumable:
             progress.restart()
         batch.runs_by_item[work.item_id] = dispatches.Run(
@@ -335,106 +335,109 @@
         task = asyncio.create_task(self._run(batch, work, worker))
         # Not in the task: one that is cancelled early never runs at all.
         task.add_done_callback(
-            functools.partial(self._release, batch, work, worker)
+            functools.partial(self._release_slot, batch, work, worker)
         )
         batch.tasks_by_item[work.item_id] = task
         return True
 
-    def _release(self, batch, work, worker, task):
+    def _release_slot(self, batch, work, worker, task):
         """Free the slot and the item of a run that is over."""
         worker.running -= 1
         if batch.tasks_by_item.get(work.item_id) is task:
             del batch.tasks_by_item[work.item_id]
             del batch.runs_by_item[work.item_id]
-            batch.book.mark_stopped(work.item_id)
+            batch.state.mark_stopped(work.item_id)
         error = None if task.cancelled() else task.exception()
         if error is not None:
             now = asyncio.get_running_loop().time()
             worker.not_before = now + dispatches.SILENT_PAUSE_S
             _LOG.log("run-fault", item_id=work.item_id, cause=repr(error))
-        self._look_soon()
+        self._schedule_soon()
 
     async def _run(self, batch, work, worker):
-        progress = batch.book.progress_by_id[work.item_id]
+        progress = batch.state.progress_by_id[work.item_id]
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         known = progress.last_number
-        order = runners.Order(
-            batch.book.items_by_id[work.item_id],
+        run_request = runners.RunRequest(
+            batch.state.items_by_id[work.item_id],
             batch.submission.host,
             progress,
             batch.submission.min_version,
             batch.route.one_version,
-            max(0.0, batch.give_up_at - started_at),
+            max(0.0, batch.abandon_at - started_at),
             batch.submission.organisation,
         )
-        ended = runners.Ended(runners.End.STOPPED)
+        result = runners.RunResult(runners.RunEnd.STOPPED)
         try:
-            ended = await self._runner.run(order, worker.replica, worker.pace)
+            result = await self._runner.run(
+                run_request, worker.replica, worker.pace
+            )
         except asyncio.CancelledError as error:
-            ended = ended._replace(cause=" ".join(error.args))
+            result = result._replace(cause=" ".join(error.args))
             raise
         finally:
             took_s = loop.time() - started_at
-            measures.record(measures.RUNS, took_s, end=str(ended.end))
-            is_whole = ended.end is runners.End.WHOLE
+            measures.record(measures.RUNS, took_s, end=str(result.end))
+            is_whole = result.end is runners.RunEnd.WHOLE
             write = _LOG.routine if is_whole else _LOG.log
             write(
                 "item-run",
                 batch_id=batch.batch_id,
                 item_id=work.item_id,
                 replica=worker.replica.replica_id,
-                end=str(ended.end),
-                cause=ended.cause,
-                version=ended.version,
+                end=str(result.end),
+                cause=result.cause,
+                version=result.version,
                 first=known,
                 last=progress.last_number,
                 took_s=round(took_s, 3),
             )
-        if ended.is_cut:
+        if result.is_cut:
             fingerprint = self._fingerprint(batch, work.item_id)
             await self._crash_tracker.note_cut(fingerprint, worker.replica)
         elif (
-            ended.end is runners.End.WHOLE and not self._crash_tracker.is_empty
+            result.end is runners.RunEnd.WHOLE
+            and not self._crash_tracker.is_empty
         ):
             self._crash_tracker.answered(
                 self._fingerprint(batch, work.item_id)
             )
-        self._note(batch, work, worker, ended)
+        self._handle_result(batch, work, worker, result)
 
-    def _note(self, batch, work, worker, ended):
+    def _handle_result(self, batch, work, worker, result):
         """Take in how a run ended."""
         now = asyncio.get_running_loop().time()
-        if ended.version:
-            seen = facts.ModelVersion(work.model, ended.version)
+        if result.version:
+            seen = facts.ModelVersion(work.model, result.version)
             worker.update_versions([seen])
-        book = batch.book
-        if ended.end is runners.End.WHOLE:
-            self._observe(batch, work, now)
-            book.mark_text_complete(work.item_id)
-            batch.has_ready.set()
-            self._on_text()
+        state = batch.state
+        if result.end is runners.RunEnd.WHOLE:
+            self._record_completion(batch, work, now)
+            state.mark_text_complete(work.item_id)
+            batch.has_new_results.set()
+            self._on_text_complete()
             return
-        counters.count_retry(_RETRIES_BY_END[ended.end], work.service)
-        if ended.end is runners.End.FAILED:
-            book.count_failure(work.item_id)
-        elif ended.end is runners.End.IMPOSSIBLE:
-            book.abandon(work.item_id)
-        elif ended.end is runners.End.REFUSED:
+        counters.count_retry(_RETRIES_BY_END[result.end], work.service)
+        if result.end is runners.RunEnd.FAILED:
+            state.count_failure(work.item_id)
+        elif result.end is runners.RunEnd.IMPOSSIBLE:
+            state.abandon(work.item_id)
+        elif result.end is runners.RunEnd.REFUSED:
             worker.not_before = now + dispatches.REFUSED_PAUSE_S
-        elif ended.end is runners.End.OTHER_REPLICA:
+        elif result.end is runners.RunEnd.OTHER_REPLICA:
             self._directory.exclude(worker.replica.replica_id)
-        elif ended.end is runners.End.TOO_OLD:
-            self._restart(batch, work.item_id)
-        elif ended.end is runners.End.BROKEN:
+        elif result.end is runners.RunEnd.TOO_OLD:
+            self._reset_text(batch, work.item_id)
+        elif result.end is runners.RunEnd.BROKEN:
             worker.not_before = now + dispatches.BROKEN_PAUSE_S
         else:
             worker.not_before = now + dispatches.SILENT_PAUSE_S
-        batch.has_ready.set()
+        batch.has_new_results.set()
 
-    def _observe(self, batch, work, now):
+    def _record_completion(self, batch, work, now):
         """Take in how long a whole text is, and what its moves brought."""
-        events = batch.book.progress_by_id[work.item_id].last_number
+        events = batch.state.progress_by_id[work.item_id].last_number
         self._dispatch.lengths.observe(work.kind, work.expected_tokens, events)
         savings = self._move_history.pop_savings(
             work.batch_id, work.item_id, events, now
@@ -454,7 +457,7 @@
         )
 
     @staticmethod
-    def _restart(batch, item_id):
+    def _reset_text(batch, item_id):
         """Forget a text that no replica can go on with."""
         if batch.route.one_version:
-            batch.book.progress_by_id[item_id].restart()
+            batch.state.progress_by_id[item_id].restart()
--- a/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
@@ -63,7 +63,7 @@
         unscored = [
             (batch, item_id)
             for batch in self._batches_by_id.values()
-            for item_id in batch.book.unscored_ids()
+            for item_id in batch.state.unscored_ids()
         ]
         if not unscored:
             return
@@ -85,17 +85,17 @@
 
     def _start(self, batch, item_id, slots_by_service, now):
         """Start the call of one item; return whether it was possible."""
-        progress = batch.book.progress_by_id[item_id]
+        progress = batch.state.progress_by_id[item_id]
         if now < progress.scoring_not_before:
             return False
-        scoring_call = batch.book.items_by_id[item_id].scoring_call
+        scoring_call = batch.state.items_by_id[item_id].scoring_call
         route = self._route(scoring_call)
         if route is None:
             return False
         limiter = self._limiter(route, slots_by_service)
         if not limiter.may_start(now):
             return False
-        batch.book.mark_scoring(item_id)
+        batch.state.mark_scoring(item_id)
         limiter.running += 1
         task = asyncio.create_task(
             self._score(batch, item_id, scoring_call, route, limiter)
@@ -103,7 +103,7 @@
         batch.scorings_by_item[item_id] = task
         # Not in the task: one that is cancelled early never runs at all.
         task.add_done_callback(
-            functools.partial(self._release, batch, item_id, limiter)
+            functools.partial(self._release_slot, batch, item_id, limiter)
         )
         return True
 
@@ -122,21 +122,21 @@
         limiter.set_slots(slots)
         return limiter
 
-    def _release(self, batch, item_id, limiter, task):
+    def _release_slot(self, batch, item_id, limiter, task):
         limiter.running -= 1
         if batch.scorings_by_item.get(item_id) is task:
             del batch.scorings_by_item[item_id]
-        batch.book.mark_not_scored(item_id)
+        batch.state.mark_not_scored(item_id)
         error = None if task.cancelled() else task.exception()
         if error is not None:
-            self._pause(batch, item_id)
+            self._delay_next_call(batch, item_id)
             _LOG.log("scoring-fault", item_id=item_id, cause=repr(error))
-        batch.has_ready.set()
+        batch.has_new_results.set()
         self._timer.schedule_soon()
 
-    def _pause(self, batch, item_id):
+    def _delay_next_call(self, batch, item_id):
         """Let an item wait before its next call."""
-        progress = batch.book.progress_by_id[item_id]
+        progress = batch.state.progress_by_id[item_id]
         progress.scoring_rounds += 1
         pause_s = scoring.retry_delay_s(progress.scoring_rounds)
         now = asyncio.get_running_loop().time()
@@ -152,11 +152,11 @@
         took_s = loop.time() - started_at
         if seal:
             limiter.record_score(took_s)
-            batch.book.mark_scored(item_id, seal)
+            batch.state.mark_scored(item_id, seal)
         else:
             most = max(route.max_replicas, batch.route.max_replicas)
-            batch.book.mark_not_scored(item_id, attempt.failures, most)
-            self._pause(batch, item_id)
+            batch.state.mark_not_scored(item_id, attempt.failures, most)
+            self._delay_next_call(batch, item_id)
         end = "scored" if seal else "failed"
         measures.record(measures.SCORINGS, took_s, end=end)
         write = _LOG.routine if seal else _LOG.log
@@ -166,7 +166,7 @@
             item_id=item_id,
             request_id=scoring_call.call_id,
             end=end,
-            state=batch.book.state(item_id).value,
+            state=batch.state.state(item_id).value,
             cause=cause,
             replicas=attempt.tried_replica_ids,
             failures=attempt.failures,
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -59,7 +59,7 @@
             live_calls.crash_tracker,
             self.slot_sharing,
         )
-        fleet.store.listen_regained(self.manager.save_soon)
+        fleet.store.listen_regained(self.manager.retry_failed_saves)
         self.notices = notices.NoticeHandler(
             fleet.directory,
             self.manager.min_versions_by_model,
@@ -103,7 +103,7 @@
             budget,
             self._can_confirm_ownership,
         )
-        self._beginning = None
+        self._start_task = None
 
     @classmethod
     def from_config(
@@ -111,23 +111,27 @@
     ):
         """Return an entry's batches; peers ask for them by `peer_server`."""
         batches = cls(platform, fleet, live_calls, pool, budget)
-        peer_server.handle(submission_forwarding.TARGET, batches.take)
         peer_server.handle(
-            owner_client.TARGET, batches.request_handler.answer_peer
+            submission_forwarding.TARGET, batches.accept_forwarded
+        )
+        peer_server.handle(
+            owner_client.TARGET, batches.request_handler.read_for_peer
         )
         peer_server.handle(
             owner_client.END_TARGET, batches.request_handler.end_for_peer
         )
-        peer_server.handle(slot_sharing.TARGET, batches.slot_sharing.answer)
+        peer_server.handle(
+            slot_sharing.TARGET, batches.slot_sharing.handle_request
+        )
         peer_server.handle(notices.TARGET, batches.notices.answer)
         return batches
 
     def start(self):
         """Begin to keep what is needed, and to take over."""
         self.retention.start()
-        self._beginning = asyncio.create_task(self._begin())
+        self._start_task = asyncio.create_task(self._start_takeovers())
 
-    async def _begin(self):
+    async def _start_takeovers(self):
         """Take back what an earlier life of this VM owned."""
         while not (
             self._fleet.cluster_state.is_loaded
@@ -135,7 +139,7 @@
             and self._fleet.configuration.current
         ):
             await asyncio.sleep(POLL_S)
-        self._intake.begin()
+        self._intake.start_takeovers()
 
     def refuse_new(self):
         """Take no new batches: this VM is stopping."""
@@ -148,8 +152,8 @@
 
     async def stop(self):
         """Stop everything."""
-        if self._beginning:
-            self._beginning.cancel()
+        if self._start_task:
+            self._start_task.cancel()
         await self.retention.stop()
         await self._intake.stop()
         await self.manager.stop()
@@ -157,7 +161,7 @@
         self._submission_forwarder.close()
         self.slot_sharing.close()
 
-    async def take(self, request, responder):
+    async def accept_forwarded(self, request, responder):
         """Accept a batch that another entry was given."""
         submission_request = submission_forwarding.read_request(request.body)
         route = self._fleet.configuration.routes.find(
@@ -165,7 +169,7 @@
         )
         if route is None or not route.is_batch:
             raise exceptions.Refused("the route is not known here")
-        await self.request_handler.submit_peer(
+        await self.request_handler.submit_forwarded(
             route, submission_request, responder
         )
 
@@ -175,5 +179,5 @@
         Under a lease that has lapsed others could take it over.
         """
         presence = self._fleet.presence
-        knows_owners = self._owners.loaded_at > presence.lapsed_at
-        return knows_owners and presence.can_confirm_ownership()
+        has_current_owners = self._owners.loaded_at > presence.lapsed_at
+        return has_current_owners and presence.can_confirm_ownership()
--- a/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
@@ -16,11 +16,11 @@
 TARGET = "/places"
 # Between two questions to one lender, in seconds: an item waits so long for
 # a place that is free elsewhere.
-ASK_S = 0.2
+REQUEST_INTERVAL_S = 0.2
 # A lender answers from memory. One that needs longer keeps its places.
-LIMITS = peer_calls.CallLimits(timeout_s=0.3, max_bytes=1 << 20)
+CALL_LIMITS = peer_calls.CallLimits(timeout_s=0.3, max_bytes=1 << 20)
 
-_ASK = pydantic.TypeAdapter(home_slots.SlotRequest)
+_SLOT_REQUEST = pydantic.TypeAdapter(home_slots.SlotRequest)
 _COUNTS = pydantic.TypeAdapter(dict[str, int])
 
 _LOG = logs.get_logger(__name__)
@@ -53,15 +53,15 @@
         self._vm_id = vm_id
         self._cluster_state = cluster_state
         self._homes = homes
-        self._places_by_service = {}
-        self._asked_at_by_key = {}
-        self._asking = set()
+        self._slots_by_service = {}
+        self._requested_at_by_key = {}
+        self._tasks = set()
         self._pool = client.Pool(asyncio.get_running_loop().time, True)
         # Returns the `Use` of a service; told that limits have changed.
-        self.use_of = None
+        self.usage_of = None
         self.on_change = None
 
-    def look(self, services):
+    def update_homes(self, services):
         """Take in which homes these services have now.
 
         Returns
@@ -71,62 +71,71 @@
         """
         before = any(map(self.is_split, services))
         for service in services:
-            known = self._places_by_service.setdefault(
+            service_slots = self._slots_by_service.setdefault(
                 service, home_slots.HomeSlots(self._vm_id)
             )
-            known.set_homes(self._homes.all(service))
+            service_slots.set_homes(self._homes.all(service))
         return before or any(map(self.is_split, services))
 
     def limit(self, replica):
         """Return how many places of a replica may be used, None for all."""
-        known = self._places_by_service.get(replica.service)
-        if known is None or not known.lenders:
+        service_slots = self._slots_by_service.get(replica.service)
+        if service_slots is None or not service_slots.lenders:
             return None
         now = asyncio.get_running_loop().time()
-        return known.limit(replica.replica_id, replica.slots, now)
+        return service_slots.limit(replica.replica_id, replica.slots, now)
 
     def is_split(self, service):
         """Return whether a service has several homes."""
-        known = self._places_by_service.get(service)
-        return known is not None and bool(known.lenders)
+        service_slots = self._slots_by_service.get(service)
+        return service_slots is not None and bool(service_slots.lenders)
 
-    def ask(self, service):
+    def request_slots(self, service):
         """Ask the other homes for places, and name what is used."""
         if not self.is_split(service):
             return
         now = asyncio.get_running_loop().time()
-        use = self.use_of(service)
-        known = self._places_by_service[service]
-        using_by_lender = {lender: {} for lender in known.lenders}
-        for worker in use.workers:
+        usage = self.usage_of(service)
+        service_slots = self._slots_by_service[service]
+        using_by_lender = {lender: {} for lender in service_slots.lenders}
+        for worker in usage.workers:
             replica_id = worker.replica.replica_id
-            owner = known.owner(replica_id)
+            owner = service_slots.owner(replica_id)
             if worker.running and owner in using_by_lender:
                 using_by_lender[owner][replica_id] = worker.running
         for lender, using_by_replica in using_by_lender.items():
-            asked_at = self._asked_at_by_key.get((service, lender))
-            is_due = asked_at is None or now - asked_at >= ASK_S
-            if is_due and (use.waiting or using_by_replica):
-                self._asked_at_by_key[service, lender] = now
-                ask = home_slots.SlotRequest(
-                    service, self._vm_id, use.waiting, using_by_replica
+            requested_at = self._requested_at_by_key.get((service, lender))
+            is_due = (
+                requested_at is None
+                or now - requested_at >= REQUEST_INTERVAL_S
+            )
+            if is_due and (usage.waiting or using_by_replica):
+                self._requested_at_by_key[service, lender] = now
+                slot_request = home_slots.SlotRequest(
+                    service, self._vm_id, usage.waiting, using_by_replica
+                )
+                self._start(
+                    self._send_request(
+                        lender, slot_request, service_slots, now
+                    )
                 )
-                self._start(self._ask(lender, ask, known, now))
 
     def _start(self, coroutine):
         task = asyncio.create_task(coroutine)
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, lender, ask, known, now):
-        known.record_request(lender, ask.using_by_replica, now)
+    async def _send_request(self, lender, slot_request, service_slots, now):
+        service_slots.record_request(
+            lender, slot_request.using_by_replica, now
+        )
         self.on_change()
         address = self._cluster_state.addresses_by_vm.get(lender)
         if address is None:
             return
         try:
             body = await peer_calls.call(
-                self._pool, lender, address, TARGET, ask, LIMITS
+                self._pool, lender, address, TARGET, slot_request, CALL_LIMITS
             )
             counts_by_replica = _COUNTS.validate_python(cbor2.loads(body))
         except (
@@ -136,32 +145,36 @@
         ) as error:
             _LOG.log("places-not-lent", lender=lender, cause=repr(error))
             return
-        known.record_loan(lender, counts_by_replica, now)
+        service_slots.record_loan(lender, counts_by_replica, now)
         self.on_change()
 
-    async def answer(self, request, responder):
+    async def handle_request(self, request, responder):
         """Lend places to another home."""
-        ask = peer_calls.decode(_ASK, request.body, "question for places")
-        self.look([ask.service])
-        known = self._places_by_service[ask.service]
+        slot_request = peer_calls.decode(
+            _SLOT_REQUEST, request.body, "question for places"
+        )
+        self.update_homes([slot_request.service])
+        service_slots = self._slots_by_service[slot_request.service]
         now = asyncio.get_running_loop().time()
-        use = self.use_of(ask.service)
+        usage = self.usage_of(slot_request.service)
         own = [
             worker
-            for worker in use.workers
-            if known.owner(worker.replica.replica_id) == self._vm_id
+            for worker in usage.workers
+            if service_slots.owner(worker.replica.replica_id) == self._vm_id
         ]
         free_slots_by_replica = {
             worker.replica.replica_id: worker.free_slots
             for worker in own
-            if not use.waiting and worker.not_before <= now
+            if not usage.waiting and worker.not_before <= now
         }
         slots = sum(worker.replica.slots for worker in own)
-        counts_by_replica = known.lend(ask, slots, free_slots_by_replica, now)
+        counts_by_replica = service_slots.lend(
+            slot_request, slots, free_slots_by_replica, now
+        )
         _LOG.routine(
             "places-lent",
-            borrower=ask.borrower,
-            wanted=ask.wanted,
+            borrower=slot_request.borrower,
+            wanted=slot_request.wanted,
             lent=sum(counts_by_replica.values()),
         )
         self.on_change()
@@ -170,13 +183,13 @@
     def gauge_values(self):
         """Return how many places are lent and borrowed, of split services."""
         now = asyncio.get_running_loop().time()
-        split = [
-            one for one in self._places_by_service.values() if one.lenders
-        ]
+        split = [one for one in self._slots_by_service.values() if one.lenders]
         if not split:
             return []
-        lent = sum(known.lent_count(now) for known in split)
-        borrowed = sum(known.borrowed_count(now) for known in split)
+        lent = sum(service_slots.lent_count(now) for service_slots in split)
+        borrowed = sum(
+            service_slots.borrowed_count(now) for service_slots in split
+        )
         return [
             measures.GaugeValue("places_lent", lent),
             measures.GaugeValue("places_borrowed", borrowed),
@@ -184,6 +197,6 @@
 
     def close(self):
         """Ask no more."""
-        for task in self._asking:
+        for task in self._tasks:
             task.cancel()
         self._pool.close()
--- a/packages/gateway/anvilwell_gateway/batches/submission_forwarding.py
+++ b/packages/gateway/anvilwell_gateway/batches/submission_forwarding.py
@@ -18,7 +18,7 @@
 # An entry answers within 20 ms where the store does in 4 ms. One that takes
 # longer is passed by while the trainer's target, half a second, can be met.
 TIMEOUT_S = 0.4
-MAX_ANSWER_BYTES = 64 << 10
+MAX_RESPONSE_BYTES = 64 << 10
 _ACCEPTED = 202
 _REFUSED = 503
 
@@ -93,7 +93,7 @@
         Handed
             What became of it.
         """
-        home = self._homes.find(all_homes.service_of(route), model)
+        home = self._homes.find(all_homes.gathering_key(route), model)
         if home in (None, self._vm_id):
             return ForwardOutcome.NOT
         address = self._cluster_state.addresses_by_vm[home]
@@ -106,7 +106,7 @@
         question = peer_calls.build_request(TARGET, address, submission)
         try:
             reply, _ = await self._pool.call(
-                home, address, question, TIMEOUT_S, MAX_ANSWER_BYTES
+                home, address, question, TIMEOUT_S, MAX_RESPONSE_BYTES
             )
         except exceptions.BackendFailed as error:
             not_run = error.verdict is verdicts.Verdict.NOT_RUN
--- a/packages/gateway/anvilwell_gateway/frontend.py
+++ b/packages/gateway/anvilwell_gateway/frontend.py
@@ -149,7 +149,7 @@
             await self._wait_for(lambda: self._fleet.configuration.current)
             self._check_configured()
             batch_call = admission.admit_batch_call(batch_call, request)
-            await request_handler.answer(
+            await request_handler.handle(
                 batch_call, call.request_id, responder
             )
             return
--- a/packages/gateway/tests/batches/test_committing.py
+++ b/packages/gateway/tests/batches/test_committing.py
@@ -27,7 +27,7 @@
     items = tuple(
         facts.Item(f"i{n}", "/", (), b"", f"g{n}") for n in range(GROUPS)
     )
-    book = batch_states.BatchState(
+    state = batch_states.BatchState(
         facts.Submission("b", "h", "/", items, wanted_groups=WANTED), 1
     )
     store = _Store()
@@ -36,11 +36,11 @@
         batch = types.SimpleNamespace(
             batch_id="b",
             claim=None,
-            book=book,
+            state=state,
             chunks=0,
-            has_ready=asyncio.Event(),
+            has_new_results=asyncio.Event(),
             begin_write=lambda: None,
-            list=book.mark_listed,
+            mark_listed=state.mark_listed,
         )
         committer = committing.Committer(store, batch, None)
         task = asyncio.create_task(committer.run())
@@ -48,10 +48,10 @@
         for number, at in enumerate(whole_at):
             await asyncio.sleep(at - began_at)
             began_at = at
-            book.mark_running(f"i{number}")
-            book.mark_text_complete(f"i{number}")
-            batch.has_ready.set()
-        await asyncio.sleep(2 * committing.GATHER_S)
+            state.mark_running(f"i{number}")
+            state.mark_text_complete(f"i{number}")
+            batch.has_new_results.set()
+        await asyncio.sleep(2 * committing.GROUPING_DELAY_S)
         task.cancel()
 
     run_virtual(scenario())
@@ -61,7 +61,7 @@
 def test_groups_that_are_whole_soon_after_another_share_a_write(run_virtual):
     chunks = _commit(run_virtual, [1.0, 1.1])
 
-    assert chunks == [(1.0 + committing.GATHER_S, 2)]
+    assert chunks == [(1.0 + committing.GROUPING_DELAY_S, 2)]
 
 
 def test_the_last_group_that_the_trainer_needs_ends_the_wait(run_virtual):
@@ -71,7 +71,7 @@
     """
     chunks = _commit(run_virtual, [1.0, 2.0, 2.05])
 
-    assert chunks == [(1.0 + committing.GATHER_S, 1), (2.05, 2)]
+    assert chunks == [(1.0 + committing.GROUPING_DELAY_S, 1), (2.05, 2)]
 
 
 def test_what_comes_after_that_is_listed_at_once(run_virtual):
--- a/packages/gateway/tests/batches/test_manager.py
+++ b/packages/gateway/tests/batches/test_manager.py
@@ -24,31 +24,31 @@
     def __init__(self):
         self.replicas = [REPLICA, REPLICA._replace(service="plain")]
         # The services whose replicas were asked for.
-        self.looked_at = []
+        self.queried_services = []
 
     def listen(self, callback):
         self.changed = callback
 
     def usable(self, service=None):
-        self.looked_at.append(service)
+        self.queried_services.append(service)
         return [one for one in self.replicas if one.service == service]
 
     def find_usable(self, replica_id):
         found = [r for r in self.replicas if r.replica_id == replica_id]
-        self.looked_at += [replica.service for replica in found[:1]]
+        self.queried_services += [replica.service for replica in found[:1]]
         return found[0] if found else None
 
 
 class _Runner:
     def __init__(self):
-        self.asked = []
+        self.runs = []
         self.may_end = asyncio.Event()
         self.may_end.set()
 
     async def run(self, order, replica, pace):
-        self.asked.append((order.item.item_id, replica.replica_id))
+        self.runs.append((order.item.item_id, replica.replica_id))
         await self.may_end.wait()
-        return runners.Ended(runners.End.WHOLE)
+        return runners.RunResult(runners.RunEnd.WHOLE)
 
 
 def _batch(batch_id, revision=1):
@@ -100,8 +100,8 @@
         manager.open(_batch("b1"))
         manager.end("b1")
         manager.open(_batch("b2"))
-        await _until(lambda: len(runner.asked) == 2)
-        assert {item_id for item_id, _ in runner.asked} == {"b2-0", "b2-1"}
+        await _until(lambda: len(runner.runs) == 2)
+        assert {item_id for item_id, _ in runner.runs} == {"b2-0", "b2-1"}
 
     _run(scenario)
 
@@ -111,7 +111,7 @@
         manager.open(_batch("b1"))
         directory.replicas = []
         directory.changed(CAME_OR_WENT)
-        await _until(lambda: len(runner.asked) == 2)
+        await _until(lambda: len(runner.runs) == 2)
 
     _run(scenario)
 
@@ -126,13 +126,13 @@
     async def scenario(manager, directory, runner):
         for changed in [CAME_OR_WENT, NOTICED] * 5:
             directory.changed(changed)
-        assert directory.looked_at == []
+        assert directory.queried_services == []
         manager.open(_batch("b1"))
         tasks = manager.batches_by_id["b1"].tasks_by_item
-        await _until(lambda: len(runner.asked) == 2 and not tasks)
-        looked = len(directory.looked_at)
+        await _until(lambda: len(runner.runs) == 2 and not tasks)
+        query_count = len(directory.queried_services)
         directory.changed(CAME_OR_WENT)
-        assert len(directory.looked_at) == looked
+        assert len(directory.queried_services) == query_count
 
     _run(scenario)
 
@@ -141,8 +141,8 @@
     async def scenario(manager, directory, runner):
         manager.open(_batch("b1"))
         directory.changed(CAME_OR_WENT)
-        await _until(lambda: len(runner.asked) == 2)
-        assert set(directory.looked_at) == {"lm"}
+        await _until(lambda: len(runner.runs) == 2)
+        assert set(directory.queried_services) == {"lm"}
 
     _run(scenario)
 
@@ -151,13 +151,13 @@
     async def scenario(manager, directory, runner):
         runner.may_end.clear()
         manager.open(_batch("b1"))
-        assert len(directory.looked_at) == 1
+        assert len(directory.queried_services) == 1
         for _ in range(9):
             directory.changed(NOTICED)
             await asyncio.sleep(0)
-        assert len(directory.looked_at) == 1
-        await asyncio.sleep(2 * schedulers.GATHER_S)
-        assert len(directory.looked_at) == 2
+        assert len(directory.queried_services) == 1
+        await asyncio.sleep(2 * schedulers.NOTICE_DELAY_S)
+        assert len(directory.queried_services) == 2
 
     _run(scenario)
 
@@ -178,8 +178,8 @@
         manager.open(first)
         directory.replicas = [REPLICA]
         directory.changed(CAME_OR_WENT)
-        await _until(lambda: len(runner.asked) == 2)
-        assert {item_id for item_id, _ in runner.asked} == {"b1-0", "b1-1"}
+        await _until(lambda: len(runner.runs) == 2)
+        assert {item_id for item_id, _ in runner.runs} == {"b1-0", "b1-1"}
 
     _run(scenario)
 
--- a/packages/gateway/tests/batches/test_saving.py
+++ b/packages/gateway/tests/batches/test_saving.py
@@ -25,10 +25,10 @@
     text.events = ["a"] * saving.MIN_SAVED_EVENTS
     return types.SimpleNamespace(
         batch_id="b1",
-        book=types.SimpleNamespace(needs_no_runs=False),
-        texts=lambda least: [text],
-        to_save=asyncio.Event(),
-        is_unsaved=False,
+        state=types.SimpleNamespace(needs_no_runs=False),
+        reusable_texts=lambda least: [text],
+        save_requested=asyncio.Event(),
+        has_unsaved_texts=False,
     )
 
 
@@ -42,12 +42,12 @@
         await asyncio.sleep(saving.SAVE_INTERVAL_S + 0.1)
         store.is_away = False
         batches_by_id = {"b1": batch}
-        managers.BatchManager.save_soon(
+        managers.BatchManager.retry_failed_saves(
             types.SimpleNamespace(batches_by_id=batches_by_id)
         )
         await asyncio.sleep(0.01)
         saver.cancel()
-        return batch.is_unsaved
+        return batch.has_unsaved_texts
 
     assert run_virtual(scenario()) is False
     assert store.saved_at == [saving.SAVE_INTERVAL_S + 0.1]
@@ -57,9 +57,9 @@
     async def scenario():
         batch = _batch()
         batches_by_id = {"b1": batch}
-        managers.BatchManager.save_soon(
+        managers.BatchManager.retry_failed_saves(
             types.SimpleNamespace(batches_by_id=batches_by_id)
         )
-        return batch.to_save.is_set()
+        return batch.save_requested.is_set()
 
     assert run_virtual(scenario()) is False
--- a/packages/gateway/tests/batches/test_slot_sharing.py
+++ b/packages/gateway/tests/batches/test_slot_sharing.py
@@ -26,10 +26,10 @@
     def __init__(self, peers_by_vm):
         self._peers_by_vm = peers_by_vm
         self.is_cut = False
-        self.asked = 0
+        self.called = 0
 
     async def call(self, key, address, question, timeout_s, max_bytes):
-        self.asked += 1
+        self.called += 1
         if self.is_cut:
             raise exceptions.BackendFailed(
                 "cut",
@@ -37,7 +37,9 @@
                 verdict=verdict.Verdict.NOT_RUN,
             )
         responder = _Responder()
-        await self._peers_by_vm[key].slot_sharing.answer(question, responder)
+        await self._peers_by_vm[key].slot_sharing.handle_request(
+            question, responder
+        )
         return messages.Reply(responder.status, ()), responder.body
 
     def close(self):
@@ -60,13 +62,13 @@
         self.dispatch = dispatches.Dispatcher()
         self.dispatch.set_replicas(REPLICAS)
         self.waiting = 0
-        self.slot_sharing.use_of = lambda service: slot_sharing.SlotUsage(
+        self.slot_sharing.usage_of = lambda service: slot_sharing.SlotUsage(
             self.waiting, self.dispatch.workers(service)
         )
         self.slot_sharing.on_change = lambda: self.dispatch.set_limits(
             self.slot_sharing.limit
         )
-        self.slot_sharing.look(["lm"])
+        self.slot_sharing.update_homes(["lm"])
         self.slot_sharing.on_change()
         peers_by_vm[vm_id] = self
 
@@ -90,8 +92,8 @@
 
 
 async def _ask(home):
-    home.slot_sharing.ask("lm")
-    await asyncio.gather(*home.slot_sharing._asking)
+    home.slot_sharing.request_slots("lm")
+    await asyncio.gather(*home.slot_sharing._tasks)
 
 
 def test_a_full_home_borrows_and_no_replica_is_filled_twice():
@@ -122,7 +124,7 @@
         a.waiting = 10
         a.pool.is_cut = True
         await _ask(a)
-        assert a.pool.asked == 1
+        assert a.pool.called == 1
         assert a.fill() == 0
 
     _run(scenario)
@@ -132,7 +134,7 @@
     async def scenario(a, b):
         a.waiting = 10
         await _ask(a)
-        assert not a.pool.asked
+        assert not a.pool.called
         assert a.fill() == SLOTS * len(REPLICAS)
 
     _run(scenario, homes=("a",))
@@ -141,6 +143,6 @@
 def test_a_home_without_batches_asks_nobody():
     async def scenario(a, b):
         await _ask(a)
-        assert not a.pool.asked
+        assert not a.pool.called
 
     _run(scenario)
