--- a/packages/gateway/anvilwell_gateway/feeds.py
+++ b/packages/gateway/anvilwell_gateway/feeds.py
@@ -1,9 +1,10 @@
-"""What an entry that watches the store passes on to its neighbours.
+"""Serves changes of the store from an entry that watches it to others.
 
-Without this each process watches by itself, so calls to the store are
-processes times changes. One entry a failure domain watches each prefix; it
-is a cache with the store's revision, and what is written goes to the store
-under conditions as before.
+If every process watched the store itself, the number of calls would be the
+number of processes times the number of changes. Instead, one entry in each
+failure domain watches each prefix and serves it to its neighbours. It acts as
+a cache that keeps the store's revisions; conditional writes still go to the
+store directly.
 """
 
 import asyncio
@@ -20,32 +21,34 @@
 from anvilwell_outside.ports import keyvalue
 
 TARGET = "/changes"
-# Changes that are kept for followers that are behind. One that is further
-# behind reads the whole.
+# Changes kept for followers that lag behind. A follower that is further behind
+# reads all entries again.
 MAX_CHANGES = 2000
-# How long a question waits for a change, in seconds. A neighbour that went
-# silent is noticed this much and a margin later, so that a change is in
-# force within the two seconds that it may take.
+# How long a request waits for a change, in seconds. A neighbour that went
+# silent is detected after this time plus a margin, so that a change still
+# takes effect within the two seconds that it may take.
 WAIT_S = 1.0
-# Between looks whether this entry is still in touch with the store.
+# Interval at which a waiting request checks whether this entry is still in
+# contact with the store, in seconds.
 CONTACT_CHECK_S = 0.2
 
-# How a question can end, beside 200: the store is silent here.
+# Status of the response, instead of 200, if the store does not answer this
+# entry.
 _OUT_OF_TOUCH = 503
 
 
 class FeedStatus(enum.StrEnum):
-    """What an entry can tell of one prefix."""
+    """What the feed of a prefix can return to a request."""
 
     DATA = "told"
-    # Nothing is new yet, or the prefix is being read anew.
+    # There are no new changes, or the prefix is being read again.
     NOTHING = "nothing"
     FORGOTTEN = "forgotten"
     NOT_WATCHED = "not-watched"
 
 
 class FeedUpdate(typing.NamedTuple):
-    """What an entry tells of one prefix, up to the store's ``revision``."""
+    """The entries or changes of one prefix, up to the store's ``revision``."""
 
     outcome: FeedStatus
     entries: tuple[keyvalue.Entry, ...] = ()
@@ -54,10 +57,10 @@
 
 
 class ChangesRequest(typing.NamedTuple):
-    """What a neighbour asks: the revision that it knows of each prefix.
+    """A neighbour's request for changes, with its revision of each prefix.
 
-    None asks for the whole. ``engine`` is the address of the engine beside
-    the neighbour if that is an agent, else "".
+    A revision of None requests all entries. ``engine`` is the address of the
+    engine beside the requesting process if that is an agent, else "".
     """
 
     revisions_by_prefix: dict[str, int | None]
@@ -69,15 +72,15 @@
 
 
 class FeedUnavailable(exceptions.KeyValueUnavailable):
-    """The entry asked does not know the newest changes itself."""
+    """The requested entry has no current data of the prefix."""
 
 
 class FeedDisconnected(FeedUnavailable):
-    """The store has not answered the entry asked lately."""
+    """The requested entry has had no recent answer from the store."""
 
 
 class Feed:
-    """One prefix as an entry knows it from the store itself."""
+    """A cache of one prefix as this entry reads it from the store."""
 
     def __init__(self, on_change=None):
         self._entries_by_key = {}
@@ -89,7 +92,10 @@
         self.is_watched = False
 
     def reset(self, snapshot):
-        """Take a whole read; what led to it is not known."""
+        """Replace the cache by a full read.
+
+        The changes that led to it are not known.
+        """
         self._entries_by_key = dict(snapshot.entries_by_key)
         self._changes.clear()
         self._first = self._revision = snapshot.revision
@@ -97,7 +103,7 @@
         self._on_change()
 
     def add(self, changes, revision):
-        """Take changes, and the revision that they lead to."""
+        """Apply `changes`, which lead to `revision`."""
         for change in changes:
             self._changes.append(change)
             if change.value is None:
@@ -113,17 +119,17 @@
             self._on_change()
 
     def suspend(self):
-        """Tell nothing until the whole was read again."""
+        """Return no data until the next full read."""
         self.is_complete = False
 
     def stop_serving(self):
-        """Tell nothing any more: this entry is told by another now."""
+        """Stop serving the prefix, as this entry now follows a neighbour."""
         self.is_complete = self.is_watched = False
 
     def read_since(self, revision):
-        """Return what there is to tell after `revision`, a `Told`.
+        """Return a `FeedUpdate` with the changes after `revision`.
 
-        None asks for the whole.
+        A `revision` of None requests all entries.
         """
         if not self.is_watched:
             return FeedUpdate(FeedStatus.NOT_WATCHED)
@@ -140,12 +146,12 @@
 
 
 class Feeds:
-    """Answers the neighbours' questions for changes.
+    """Answers the neighbours' requests for changes.
 
     Parameters
     ----------
     is_current : callable
-        Whether the store answered this entry lately.
+        Returns whether the store answered this entry recently.
     """
 
     def __init__(self, is_current):
@@ -155,7 +161,7 @@
         self._last_contact_at_by_engine = {}
 
     def last_contact_at(self, engine):
-        """Return when the agent of an engine asked last, -inf if never."""
+        """Return when an engine's agent last asked, -inf if never."""
         return self._last_contact_at_by_engine.get(engine, float("-inf"))
 
     def feed(self, prefix):
@@ -169,7 +175,7 @@
         changed.set()
 
     async def answer(self, request, responder):
-        """Answer a neighbour's request."""
+        """Answer a neighbour's request for changes."""
         query = read_request(request.body)
         if query.engine:
             now = asyncio.get_running_loop().time()
@@ -181,7 +187,10 @@
         await responder.send(200, (), cbor2.dumps(updates_by_prefix))
 
     async def _wait(self, revisions_by_prefix):
-        """Return each `Told` once there is one, None while out of touch."""
+        """Return updates_by_prefix as soon as one prefix has an update.
+
+        Returns None if this entry has no recent answer from the store.
+        """
         loop = asyncio.get_running_loop()
         until = loop.time() + WAIT_S
         while self._is_current():
@@ -203,33 +212,34 @@
 
 
 def read_request(body):
-    """Return the `Question` in a request's body.
+    """Return the `ChangesRequest` in a request's body.
 
     Raises
     ------
     exceptions.BadRequest
-        If it holds none.
+        If the body is not a valid request for changes.
     """
-    return peer_calls.decode(_REQUEST, body, "question for changes")
+    return peer_calls.decode(_REQUEST, body, "request for changes")
 
 
 def read_response(status, body):
-    """Return each `Told` of an answer, as told_by_prefix.
+    """Return updates_by_prefix, each a `FeedUpdate`, from a response.
 
     Raises
     ------
-    NotFed
-        If there is none; ``OutOfTouch`` if the store is the cause.
+    FeedUnavailable
+        If the response has none; ``FeedDisconnected`` if the neighbour has
+        lost contact with the store.
     """
     if status == _OUT_OF_TOUCH:
-        raise FeedDisconnected("the neighbour does not reach the store")
+        raise FeedDisconnected("the neighbour has lost contact with the store")
     if status != 200:
         raise FeedUnavailable(f"the neighbour answered {status}")
     try:
         return _RESPONSE.validate_python(cbor2.loads(body))
     except (cbor2.CBORError, ValueError) as error:
-        raise FeedUnavailable(f"the answer can't be read: {error}") from error
+        raise FeedUnavailable(f"can't decode the response: {error}") from error
 
 
 def _ignore():
-    """Tell nobody."""
+    """Do nothing on a change."""
--- a/packages/gateway/anvilwell_gateway/neighbours.py
+++ b/packages/gateway/anvilwell_gateway/neighbours.py
@@ -1,4 +1,4 @@
-"""The neighbour that tells this process what changes in the store."""
+"""Finds the neighbouring entry that serves the store's changes."""
 
 import asyncio
 import typing
@@ -12,27 +12,32 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_outside.ports import keyvalue
 
-# An entry that is out of touch with the store is doubted only if it still
-# is so long after the store answered this process, in seconds. After an
-# outage all are back in touch within a tenth of a second; those that are
-# before their neighbour would read the whole.
+# An entry that has lost contact with the store is only skipped if it has not
+# regained it within this time after the store answered this process, in
+# seconds. After an outage all processes regain contact within a tenth of a
+# second; without the grace period, those that do so before their neighbour
+# would each read all entries.
 RECONNECT_GRACE_S = 0.12
-# What was seen so long ago was another outage.
+# A lost contact that was first seen longer ago than this belongs to an earlier
+# outage, in seconds.
 NEW_OUTAGE_S = 2.0
-# What a question may take beyond its wait: some round trips and the pauses
-# of a busy VM, in seconds.
+# Added to a request's wait for some round trips and the pauses of a busy VM,
+# in seconds.
 MARGIN_S = 0.5
-# A neighbour that failed is not asked for so long, in seconds: by then its
-# live key has lapsed if it is gone. Until then the store is asked.
+# How long a neighbour that failed is not asked again, in seconds; the store is
+# asked meanwhile. By the end of this time the neighbour's live key has lapsed
+# if it is gone.
 BACKOFF_S = 5.0
-# A process that starts waits so long for the others that start with it to
-# register, in seconds. A watch that is begun sooner is a call more.
+# How long a starting process waits for those that start with it to register,
+# in seconds. A watch that begins sooner would go to the store and cost one
+# more call.
 SETTLE_S = 1.0
-# It waits no longer than this to learn of any neighbour.
+# Longest wait of a starting process for the first list of entries, in seconds.
 FIRST_NEIGHBOUR_TIMEOUT_S = 3.0
-# Whatever becomes of a question, nobody waits longer for its answer.
+# Upper limit on the wait for the result of a query, whatever happens to its
+# request, in seconds.
 ANSWER_TIMEOUT_S = feeds.WAIT_S + 2 * MARGIN_S
-# What a process asks within this time shares one question, in seconds.
+# Queries made within this time share one request, in seconds.
 COALESCE_S = 0.01
 MAX_ANSWER_BYTES = 32 << 20
 _DUTY = "watch the store"
@@ -41,29 +46,30 @@
 
 
 class Candidate(typing.NamedTuple):
-    """An entry that may tell others what changes."""
+    """An entry that may serve changes of the store to others."""
 
     address: typing.Any
     failure_domain: str
 
 
 class _PendingQuery(typing.NamedTuple):
-    """One prefix that a question is to ask for, and who waits for it."""
+    """A prefix to include in the next request, and its future result."""
 
     revision: int | None
     result: asyncio.Future
 
 
 class Neighbour:
-    """One entry, as a source of what changes in the store.
+    """An entry as the source of the store's changes.
 
-    What is asked at about the same time shares one question, so that a
-    process with six prefixes asks as often as one with a single one.
+    Queries made at about the same time share one request, so that a process
+    that follows six prefixes sends as many requests as one that follows a
+    single prefix.
 
     Parameters
     ----------
     vm_id : str
-        The entry.
+        The entry's VM.
     address : options.Address
         Where it serves its peers.
     pool : client.Pool
@@ -85,16 +91,18 @@
         update = await self._ask(prefix, None)
         if update.outcome is not feeds.FeedStatus.DATA:
             raise feeds.FeedUnavailable(
-                f"{self.vm_id} has no whole: {update.outcome}"
+                f"{self.vm_id} can't provide all entries: {update.outcome}"
             )
         entries_by_key = {entry.key: entry for entry in update.entries}
         return keyvalue.Snapshot(entries_by_key, update.revision)
 
     async def watch(self, prefix, revision):
-        """Return the `stores.Changes` after `revision`, perhaps none."""
+        """Return the `stores.Changes` after `revision`, possibly none."""
         update = await self._ask(prefix, revision)
         if update.outcome is feeds.FeedStatus.FORGOTTEN:
-            raise stores.HistoryGone(f"{self.vm_id} has forgotten them")
+            raise stores.HistoryGone(
+                f"{self.vm_id} no longer keeps these changes"
+            )
         if update.outcome is feeds.FeedStatus.NOT_WATCHED:
             raise feeds.FeedUnavailable(
                 f"{self.vm_id} does not watch {prefix}"
@@ -102,7 +110,7 @@
         return stores.Changes(update.changes, update.revision)
 
     async def _ask(self, prefix, revision):
-        """Return the `feeds.Told` of one prefix."""
+        """Return the `feeds.FeedUpdate` of one prefix."""
         result = asyncio.get_running_loop().create_future()
         if not self._pending_by_prefix:
             task = asyncio.create_task(self._send())
@@ -113,10 +121,10 @@
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return await result
         except TimeoutError:
-            raise feeds.FeedUnavailable("no answer to the question") from None
+            raise feeds.FeedUnavailable("no answer to the request") from None
 
     async def _send(self):
-        """Send what is asked until now as one question."""
+        """Send all queries that are pending by now in one request."""
         await asyncio.sleep(COALESCE_S)
         pending_by_prefix, self._pending_by_prefix = (
             self._pending_by_prefix,
@@ -134,7 +142,7 @@
                 pending.result.set_result(updates_by_prefix[prefix])
 
     async def _query(self, pending_by_prefix):
-        """Return told_by_prefix, the answer to one question."""
+        """Send one request; return its updates_by_prefix."""
         revisions = {p: one.revision for p, one in pending_by_prefix.items()}
         request = peer_calls.build_request(
             feeds.TARGET,
@@ -153,26 +161,28 @@
             raise feeds.FeedUnavailable(error.message) from error
         updates_by_prefix = feeds.read_response(reply.status, body)
         if revisions.keys() - updates_by_prefix.keys():
-            raise feeds.FeedUnavailable(f"{self.vm_id} left prefixes out")
+            raise feeds.FeedUnavailable(
+                f"{self.vm_id} did not answer for all prefixes"
+            )
         return updates_by_prefix
 
 
 class Neighbours:
-    """Finds who is asked for a prefix's changes.
+    """Chooses the entry to ask for a prefix's changes.
 
     Parameters
     ----------
     vm_id : str
         This VM.
     failure_domain : str
-        Where it is; entries there are asked, if there are any.
+        This VM's failure domain; its entries are preferred.
     has_answered_recently : callable
-        Whether the store answered this process after it had left an
-        entry that is out of touch unanswered. If not, that entry is asked
-        on: the store is away for both.
+        Returns whether the store answered this process later than it can have
+        answered an entry that reports lost contact. If not, the store is
+        unavailable to both, and this process keeps asking that entry.
     engine : str, optional
-        Address of the engine beside this process, which shows the entry
-        that is asked that the engine's agent is there.
+        Address of the engine beside this process. It shows the entry that the
+        engine's agent is running.
     """
 
     def __init__(
@@ -192,7 +202,7 @@
         self._has_entries = asyncio.Event()
 
     def set_entries(self, entries_by_vm):
-        """Take in each `Candidate` that is registered."""
+        """Set the registered entries, each as a `Candidate`."""
         self._entries_by_vm = entries_by_vm
         self._neighbours_by_vm = {
             vm_id: self._reuse_or_create(vm_id, entries_by_vm[vm_id].address)
@@ -203,9 +213,9 @@
             self._has_entries.set()
 
     def _candidates(self, failure_domain):
-        """Return the entries that may tell what changes in a domain.
+        """Return the entries that may serve changes to a failure domain.
 
-        They are its own ones, or all where it has none.
+        These are the domain's own entries, or all entries if it has none.
         """
         near = [
             vm_id
@@ -215,14 +225,15 @@
         return near or list(self._entries_by_vm)
 
     def has_duty(self, failure_domain):
-        """Return whether this VM is the one that a domain asks."""
+        """Return whether this VM serves changes to a failure domain."""
         candidates = self._candidates(failure_domain)
         return rendezvous.choose_vm(_DUTY, candidates) == self._vm_id
 
     def ranked(self):
-        """Return all entries, those that tell this VM's domain first.
+        """Return all entries, those that serve this VM's domain first.
 
-        The first one is asked for changes, the next ones would be.
+        The first one is asked for changes; the others would replace it in this
+        order.
         """
         near = rendezvous.rank_vms(
             _DUTY, self._candidates(self._failure_domain)
@@ -230,14 +241,14 @@
         return [*near, *sorted(set(self._entries_by_vm).difference(near))]
 
     def _reuse_or_create(self, vm_id, address):
-        """Return the `Neighbour` that is known, or a new one."""
+        """Return the `Neighbour` of a VM, a new one if its address is new."""
         known = self._neighbours_by_vm.get(vm_id)
         if known and known.address == address:
             return known
         return Neighbour(vm_id, address, self._pool, self._engine)
 
     async def settle(self):
-        """Wait until those that start with this process are known."""
+        """Wait until entries that start with this process have registered."""
         try:
             async with asyncio.timeout(FIRST_NEIGHBOUR_TIMEOUT_S):
                 await self._entries_received.wait()
@@ -246,7 +257,7 @@
         await asyncio.sleep(SETTLE_S)
 
     async def wait_for_entry(self, limit_s):
-        """Wait until an entry is known, `limit_s` seconds at most."""
+        """Wait up to `limit_s` seconds until an entry is registered."""
         try:
             async with asyncio.timeout(limit_s):
                 await self._has_entries.wait()
@@ -254,7 +265,7 @@
             _LOG.log("no-entry-known", waited_s=limit_s)
 
     def find(self):
-        """Return the `Neighbour` to ask, None to ask the store itself."""
+        """Return the `Neighbour` to ask, or None for the store itself."""
         candidates = self._candidates(self._failure_domain)
         chosen = rendezvous.choose_vm(_DUTY, candidates)
         skipped_until = self._skipped_until_by_vm.get(chosen, 0.0)
@@ -263,7 +274,11 @@
         return self._neighbours_by_vm[chosen]
 
     def failed(self, neighbour, error):
-        """Note that a neighbour did not answer; return if it is doubted."""
+        """Record that a neighbour did not answer.
+
+        Returns whether it is skipped from now on. Otherwise it should be asked
+        again.
+        """
         now = self._clock()
         if now < self._skipped_until_by_vm.get(neighbour.vm_id, 0.0):
             return True
@@ -279,7 +294,7 @@
         return True
 
     def _may_reconnect(self, now):
-        """Return whether an entry that is out of touch is waited for."""
+        """Return whether to wait for an entry that lost the store."""
         if not self._has_answered_recently():
             self._disconnected_since = float("-inf")
             return True
--- a/packages/gateway/anvilwell_gateway/notices.py
+++ b/packages/gateway/anvilwell_gateway/notices.py
@@ -1,9 +1,9 @@
-"""What agents tell entries directly: what their engines load and have.
+"""Notices that agents send to entries about their engine's models.
 
-An entry learns a new version from the registrations within two seconds,
-and that an engine loads, only from its refusals. Notices take a
-millisecond, and cost no call to the key-value service. They go to the
-entries that run batches; see ``audience``.
+Without notices, an entry sees a new version in the registrations after up to
+two seconds, and learns that an engine is loading only when the engine refuses
+requests. A notice takes a millisecond and costs no call to the key-value
+service. Notices go to the entries that run batches; see ``notice_recipients``.
 """
 
 import asyncio
@@ -23,22 +23,24 @@
 from anvilwell_kernel.telemetry import logs
 
 TARGET = "/engine"
-# An entry answers within milliseconds; one that does not is not there.
+# Timeout of a notice, in seconds. An entry that is running answers within
+# milliseconds.
 TIMEOUT_S = 0.5
 MAX_ANSWER_BYTES = 64 << 10
 
-# No answer, or none that can be read.
+# Errors of a call without an answer, or with one that can't be decoded.
 _CALL_FAILURES = (exceptions.BackendFailed, cbor2.CBORError, ValueError)
 
 _LOG = logs.get_logger(__name__)
 
 
 class Notice(typing.NamedTuple):
-    """An engine's versions, and the models that it loads just now.
+    """An engine's versions, and the models that it is loading.
 
-    Engines do not tell agents under which id they are registered, so the
-    ``address`` names the engine, as ``ip:port``; ``started_ms`` says which
-    of its lives, as the Unix millisecond of its start, 0 if unknown.
+    Engines do not report to their agents under which id they are registered,
+    so ``address`` names the engine, as ``ip:port``. ``started_ms`` identifies
+    its incarnation by the Unix time of its start in milliseconds, 0 if
+    unknown.
     """
 
     address: str
@@ -48,12 +50,12 @@
 
 
 class NoticeResponse(typing.NamedTuple):
-    """What an entry answers to a notice.
+    """An entry's response to a notice.
 
-    ``needs_by_model`` has the oldest version that the newest batch of a
-    model may be made under, of its own batches. ``entries`` are the VMs
-    that need notices of the same service, ``engines`` the `digest` of the
-    addresses of its engines.
+    ``min_versions_by_model`` has, for each model, the oldest version that the
+    entry's newest batch of that model accepts. ``entries`` are the VMs that
+    need notices of the same service, and ``engines_digest`` is the `digest` of
+    the addresses of the service's engines.
     """
 
     min_versions_by_model: dict[str, int]
@@ -62,7 +64,7 @@
 
 
 class EngineDigest(typing.NamedTuple):
-    """The newest digest of a service's engines, and when it came."""
+    """The newest digest of a service's engines, and when it was received."""
 
     digest: int | None = None
     received_at: float = float("-inf")
@@ -78,28 +80,29 @@
     Raises
     ------
     exceptions.BadRequest
-        If it holds none.
+        If the body is not a valid notice.
     """
     return peer_calls.decode(_NOTICE, body, "notice")
 
 
 def digest(addresses):
-    """Return a number that tells sets of addresses apart."""
+    """Return a hash that differs between different sets of addresses."""
     text = " ".join(sorted(str(one) for one in addresses))
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 class NoticeHandler:
-    """Takes notices.
+    """Handles the notices that agents send to this entry.
 
     Parameters
     ----------
     directory : directory.Directory
-        Told of each.
-    needs_by_model : callable
-        Returns what this entry's newest batches need.
-    needing : needing.Needing
-        Which entries need notices.
+        Receives each notice.
+    min_versions_by_model : callable
+        Returns the oldest version that the newest batch of each model accepts
+        at this entry.
+    notice_subscribers : notice_subscribers.NoticeSubscribers
+        Finds the entries that need notices.
     """
 
     def __init__(self, directory, min_versions_by_model, notice_subscribers):
@@ -121,7 +124,7 @@
         await responder.send(200, (), cbor2.dumps(answer))
 
     def _digest(self, service):
-        """Return the digest of a service's engines, found once a change."""
+        """Return a service's engine digest, cached until engines change."""
         if service not in self._digests_by_service:
             self._digests_by_service[service] = digest(
                 one.address
@@ -139,7 +142,8 @@
     """Sends notices to the entries that need them."""
 
     def __init__(self):
-        # The next notice comes some seconds later, with the next version.
+        # Keep connections open between notices: the next one follows some
+        # seconds later, with the next version.
         self._pool = client.Pool(
             asyncio.get_running_loop().time,
             use_keepalive=True,
@@ -151,18 +155,18 @@
         self.engine_digest = EngineDigest()
 
     def set_entries(self, addresses_by_vm, ranked):
-        """Take in where the entries are, and whom to ask first."""
+        """Set the entries' addresses, and the order in which to ask them."""
         self._addresses_by_vm = addresses_by_vm
         self._recipients.set_entries(ranked)
 
     async def send(self, notice):
-        """Tell those that need it; return what their newest batches need.
+        """Send a notice to the entries that need it.
 
         Returns
         -------
         dict
-            The oldest version that the newest batch of a model may be
-            made under, by model; of the entries that answered.
+            The oldest version that the newest batch of each model accepts, by
+            model, as reported by the entries that answered.
         """
         delivery = self._recipients.begin()
         min_versions_by_model = {}
@@ -177,7 +181,10 @@
     async def _send_to_each(
         self, vm_ids, delivery, body, min_versions_by_model
     ):
-        """Tell these and whomever they name; note what batches need."""
+        """Send to these VMs and to those that they name as recipients.
+
+        Collects the reported versions in `min_versions_by_model`.
+        """
         await asyncio.gather(
             *(
                 self._send_to(vm_id, delivery, body, min_versions_by_model)
@@ -200,7 +207,7 @@
         await self._send_to_each(others, delivery, body, min_versions_by_model)
 
     async def _ask(self, vm_id, body):
-        """Return an entry's `Answer`, or None."""
+        """Return an entry's `NoticeResponse`, or None if it did not answer."""
         address = self._addresses_by_vm.get(vm_id)
         if address is None:
             return None
--- a/packages/gateway/anvilwell_gateway/prefix_follower.py
+++ b/packages/gateway/anvilwell_gateway/prefix_follower.py
@@ -1,4 +1,4 @@
-"""Follows a prefix of the store: a whole read, then its changes."""
+"""Follows a prefix of the store: one full read, then watches for changes."""
 
 import abc
 import asyncio
@@ -10,34 +10,40 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
-# A waiting watch counts as one call, so longer waits make fewer calls.
-# The store keeps 20 s of history; a quiet watch has to return within it.
+# How long a watch waits for a change, in seconds. A waiting watch counts as
+# one call, so longer waits mean fewer calls. The store keeps 20 s of history,
+# and a watch without changes has to return within that time.
 WATCH_WAIT_S = 15.0
-# Changes that come within this time share one call. It is a quarter of
-# what a change may take at most, and saves about a third of the calls.
+# Changes that arrive within this time share one call, in seconds. It is a
+# quarter of the time that a change may take to arrive, and saves about a third
+# of the calls.
 COALESCE_S = 0.25
-# Between tries while the store gives no answer, doubled each time up to the
-# longest. Its first answer to any call of this process, a renewal or a ping
-# as a rule, has all followers read at once; each refusal is paid for.
+# Wait between attempts while the store does not answer, in seconds; it doubles
+# after each attempt up to the maximum. Longer waits cost little, as the first
+# answer to any call of this process, usually a lease renewal or a ping, makes
+# all followers read at once; refused calls are charged as well.
 RETRY_S = 1.0
 MAX_RETRY_S = 8.0
-# The share of a wait that is drawn, so that processes spread.
+# Fraction of each wait that is random, so that the retries of many processes
+# are spread over time.
 JITTER_SHARE = 0.3
-# Between questions to a neighbour that does not reach the store: a little
-# more than between its own tries.
+# Wait before asking a neighbour that does not reach the store again, in
+# seconds: a little more than the interval of its own retries.
 NEIGHBOUR_RETRY_S = 0.15
 
 _LOG = logs.get_logger(__name__)
 
 
 class PrefixFollower(abc.ABC):
-    """Keeps a copy of the entries under one prefix.
+    """Keeps a local copy of the entries under one prefix.
 
-    A subclass takes whole reads by ``load`` and changes by ``change``.
-    Nothing that is older than what was taken before reaches it. Changes
-    that come within ``gather_s`` seconds share one call.
+    A subclass receives full reads through ``load`` and single changes through
+    ``change``; it never receives data older than what it received before.
+    Changes that arrive within ``coalesce_s`` seconds are fetched with one
+    call.
 
-    They come from the store itself, or from a neighbour that watches it.
+    The data come from the store itself, or from a neighbouring entry that
+    watches the store.
     """
 
     coalesce_s = COALESCE_S
@@ -59,21 +65,22 @@
 
     @abc.abstractmethod
     def load(self, entries_by_key):
-        """Take all entries that are there now."""
+        """Replace the local copy by all current entries."""
 
     @abc.abstractmethod
     def change(self, change):
-        """Take one change."""
+        """Apply one change to the local copy."""
 
     def start(self, neighbours=None, local_feeds=None):
-        """Begin to follow.
+        """Start following the prefix.
 
         Parameters
         ----------
         neighbours : neighbours.Neighbours, optional
-            Who may tell what changes.
-        fed : feeds.Feeds, optional
-            Takes what the store itself tells, for others.
+            Finds the neighbouring entry to follow instead of the store.
+        local_feeds : feeds.Feeds, optional
+            Receives what this process reads from the store, so that it can
+            serve it to its neighbours.
         """
         self._neighbours = neighbours
         self._feed = (
@@ -83,12 +90,12 @@
         self._store.listen_regained(self.restart)
 
     async def stop(self):
-        """Follow no more."""
+        """Stop following the prefix."""
         task, self._task = self._task, None
         await tasks.stop(task)
 
     def restart(self):
-        """Give up a watch that may hang, and read anew."""
+        """Cancel the current watch, which may hang, and read all entries."""
         if self._task:
             self._feed.suspend()
             self._task.cancel()
@@ -96,10 +103,10 @@
             self.regained()
 
     async def _follow(self):
-        """Read the whole, then watch, until a watch ends badly.
+        """Read all entries, then watch; start over whenever a watch fails.
 
-        A watch that follows a lost one could miss what changed while the
-        store was in trouble; a whole read can't.
+        A new watch after a failed one could miss changes made during an outage
+        of the store; a full read can't.
         """
         while True:
             self._source = self._find_source()
@@ -118,22 +125,22 @@
                 await asyncio.sleep(self._retry_s())
 
     def _retry_s(self):
-        """Return how long to wait before the next try, in seconds."""
+        """Return the wait before the next attempt, in seconds, with jitter."""
         wait_s = self._next_retry_s
         self._next_retry_s = min(MAX_RETRY_S, 2 * wait_s)
         return wait_s * (1 - JITTER_SHARE * random.random())
 
     @property
     def is_fed_by_neighbour(self):
-        """Whether a neighbour that reaches the store tells what changes."""
+        """Whether a neighbour that reaches the store serves the changes."""
         return self._source is not None and not self._is_source_disconnected
 
     def _find_source(self):
-        """Return who tells what changes, None for the store itself."""
+        """Return the neighbour to follow, or None for the store itself."""
         return self._neighbours and self._neighbours.find()
 
     async def _load_and_watch(self):
-        """Read the whole, then watch, by the one who is to be asked."""
+        """Read all entries from the current source, then watch for changes."""
         revision = await self._load(self._source)
         if self._neighbours and not self._has_settled:
             await self._neighbours.settle()
@@ -202,12 +209,12 @@
             self.regained()
 
     def regained(self):
-        """Note that the store answers again after it did not."""
+        """Handle that the store answers again after an outage."""
 
 
 def _stale_read_error(neighbour):
-    """Return the error for a read that is older than what is known."""
-    message = "the read is an old one"
+    """Return the error for a read that is older than the local copy."""
+    message = "the read is older than the local copy"
     if neighbour:
         return feeds.FeedUnavailable(message)
     return exceptions.KeyValueUnavailable(message)
--- a/packages/gateway/anvilwell_gateway/presence.py
+++ b/packages/gateway/anvilwell_gateway/presence.py
@@ -1,4 +1,4 @@
-"""The process's lease and its live key."""
+"""The lease of this process and its live key in the store."""
 
 import asyncio
 import uuid
@@ -13,45 +13,50 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_outside.ports import keyvalue
 
-# Others take over this long after a crash. Five tries of a renewal fit in
-# it; with half of them lost, one lease in thirty lapses.
+# Lifetime of the lease, in seconds: others take over this long after a crash.
+# Five attempts to renew fit in it; with half of the answers lost, one lease in
+# thirty lapses.
 TTL_S = 3.5
 RENEW_S = 0.7
-# After a renewal that failed, in seconds.
+# Wait after a failed renewal, in seconds.
 RETRY_S = 0.1
-# Without an answer for so long, the store counts as away.
+# After this time without an answer, the store counts as unavailable, in
+# seconds.
 OUT_OF_TOUCH_S = 1.5
-# Without one for so long, an entry does not vouch for what it tells others.
-# With the 0.2 s between its looks and a read of the store itself, a change
-# is in force there within two seconds all the same.
+# After this time without an answer from the store, an entry no longer confirms
+# what it has cached, in seconds. With the interval of 0.2 s at which requests
+# check that, and a read of the store by the requester itself, a change still
+# takes effect within two seconds.
 MAX_ANSWER_AGE_S = 1.2
-# An answer that is newer than this came after the last one that an entry
-# got which no longer vouches: all renew in the same step.
+# An answer more recent than this is later than the last one of any entry that
+# can no longer confirm its cache, as all processes renew at the same interval.
 RECENT_ANSWER_S = MAX_ANSWER_AGE_S - RENEW_S
 
 _LOG = logs.get_logger(__name__)
-# After an outage so long the leases of those that live may have lapsed.
+# After an outage of this length, the leases of running processes may have
+# lapsed.
 LONG_OUTAGE_S = TTL_S - RENEW_S
-# Processes are back in touch within so long of each other, in seconds: a
-# call that hangs takes up to a second, a look at the direct path as well.
+# After an outage, all processes are back in contact with the store within this
+# time of each other, in seconds. A call that hangs takes up to a second, and
+# so does a probe of the direct path.
 REREGISTRATION_S = 1.0
 
 
 class Presence:
-    """Keeps this process's live key while the store is in reach.
+    """Keeps this process's live key in the store, under a lease.
 
     Parameters
     ----------
     store : store.AsyncStore
-        Where the key lies.
+        Where the key is written.
     vm_id : str
         This VM.
     failure_domain : str
-        Where it is.
+        This VM's failure domain.
     capacity : float
-        What it can process, in cores.
+        Its processing capacity, in cores.
     link_mbps : float
-        What its link carries, in Mbit/s; 0 if that is not known.
+        The bandwidth of its link, in Mbit/s; 0 if unknown.
     """
 
     def __init__(
@@ -72,10 +77,11 @@
         self._pending_since = 0.0
         self._session = sessions.Session(TTL_S)
         self._answered_at = float("-inf")
-        # Whether the store has answered at all, and when after an outage.
+        # Whether the store has ever answered, and when it did so after an
+        # outage.
         self._has_answered = False
         self._regained_at = float("-inf")
-        # Others may have taken over what this process held until then.
+        # Up to this time, others may have taken over what this process held.
         self.lapsed_at = float("-inf")
         self._rewrite = asyncio.Event()
         self._has_failed = False
@@ -84,17 +90,17 @@
         self.incarnation = uuid.uuid4().hex
 
     def start(self, peers):
-        """Begin to register and renew; `peers` is where others ask us."""
+        """Start registering and renewing; `peers` is the address for peers."""
         self._peers = str(peers)
         self._task = asyncio.create_task(self._keep())
 
     async def stop(self):
-        """End the lease: others take over at once."""
+        """End the lease, so that others take over at once."""
         task, self._task = self._task, None
         if task is None:
             return
         await tasks.stop(task)
-        # From now on another may hold what goes with the lease.
+        # From here on, others may own what the lease protects.
         self._session.lease = 0
         if self._lease:
             try:
@@ -104,7 +110,7 @@
 
     @property
     def session(self):
-        """Until when this process may act under its lease."""
+        """The session that limits how long the lease may be acted on."""
         return self._session
 
     @property
@@ -113,38 +119,45 @@
         return self._lease != 0
 
     def is_in_touch(self):
-        """Return whether the store answered lately."""
+        """Return whether the store answered recently."""
         return self.answer_age_s() < OUT_OF_TOUCH_S
 
     def has_answered_recently(self):
-        """Return whether the store answers, though not a silent entry."""
+        """Return whether the store answers this process after an outage.
+
+        If so, an entry that still has no answer is cut off by itself.
+        """
         return self.answer_age_s() < RECENT_ANSWER_S
 
     def can_confirm_ownership(self):
-        """Return whether the store answered so lately that nothing is old."""
+        """Return whether the store answered so recently that cached data hold.
+
+        Otherwise this process may not answer from memory who owns what.
+        """
         return self.answer_age_s() < MAX_ANSWER_AGE_S
 
     def answer_age_s(self):
-        """Return how long ago the store answered, in seconds."""
+        """Return the time since the store's last answer, in seconds."""
         return asyncio.get_running_loop().time() - self._answered_at
 
     def gauge_values(self):
-        """Return whether the live key is there and the store in touch."""
+        """Return whether this process is registered and the store answers."""
         return [
             measures.GaugeValue("registered", self.is_registered),
             measures.GaugeValue("store_in_touch", self.is_in_touch()),
         ]
 
     def renew_soon(self):
-        """Renew now if that is overdue, as the store answers again."""
+        """Renew at once if that is overdue, as the store answers again."""
         if self.answer_age_s() > RENEW_S:
             self._rewrite.set()
 
     def takeover_grace_s(self):
-        """Return for how long others may still be cut off, in seconds.
+        """Return how long to wait for others to register again, in seconds.
 
-        After an outage that let leases lapse each process registers again
-        once the store answers it. Until then it looks like a dead one.
+        After an outage that let leases lapse, each process registers again
+        once the store answers it. Until then it can't be told from one that
+        has stopped, so nothing should be taken over from it.
         """
         if not self._has_answered:
             return 0.0
@@ -154,15 +167,16 @@
         return max(0.0, self._regained_at + REREGISTRATION_S - now)
 
     def key_lost(self):
-        """Note that the live key is gone; it is written again."""
+        """Handle that the live key is gone: write it again."""
         self._mark_lapsed()
         self._rewrite.set()
 
     def _mark_lapsed(self):
-        """Note that others may have taken over what goes with the lease.
+        """Record that others may have taken over what the lease protects.
 
-        A watch that hangs would not tell of it, so all is read anew from the
-        store's next answer on, which is the one to the new lease at latest.
+        A watch that hangs would not show that, so the next answer of the
+        store, at the latest the one that grants the new lease, makes all
+        followers read everything again.
         """
         if self._lease:
             self.lapsed_at = asyncio.get_running_loop().time()
@@ -206,7 +220,8 @@
         self._mark_lapsed()
         if not self._pending_lease:
             if self._has_failed:
-                # A tenth of a grant's price, while the store is away.
+                # While the store is unavailable, a ping costs a tenth of a
+                # grant.
                 await self._store.ping()
             self._pending_since = clock()
             self._pending_lease = await self._store.grant(TTL_S)
@@ -214,7 +229,7 @@
         entry = await self._store.get(key)
         if entry is None or entry.lease != self._pending_lease:
             await self._write(key, entry.revision if entry else 0)
-        # Both the write that landed and one whose answer was lost.
+        # Reached after a successful write and after one whose answer was lost.
         self._lease = self._pending_lease
         self._session.granted(self._lease, self._pending_since)
         self._pending_lease = 0
@@ -236,4 +251,6 @@
             self._pending_lease = 0
             raise
         if not result.landed:
-            raise exceptions.KeyValueUnavailable("the live key has changed")
+            raise exceptions.KeyValueUnavailable(
+                "the live key was changed meanwhile"
+            )
--- a/packages/gateway/anvilwell_gateway/store.py
+++ b/packages/gateway/anvilwell_gateway/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service on an event loop, as a port."""
+"""The asynchronous interface to the platform's key-value service."""
 
 import abc
 import asyncio
@@ -8,35 +8,38 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
 
-# A call that has waited for longer when the store answers another one after
-# an outage was lost with it. Many times the usual answer, and few of what
-# a call may take, in seconds.
+# When the store answers a call after an outage, other calls that have been
+# waiting for at least this many seconds are considered lost. It is many times
+# the usual answer time and a fraction of a call's timeout.
 HANG_THRESHOLD_S = 0.1
-# Wait between repeats of a write whose answer was lost, in seconds.
-# Many times the service's usual answer (4 ms), few of them in the two
-# seconds that a caller waits.
+# Wait between attempts of a write whose answer was lost, in seconds. It is
+# many times the service's usual answer time (4 ms), yet allows several
+# attempts in the two seconds that a caller waits.
 WRITE_RETRY_S = 0.15
 
 _LOG = logs.get_logger(__name__)
 
 
 class Changes(typing.NamedTuple):
-    """What a watch has seen; ``revision`` is where to go on."""
+    """The changes that a watch returned.
+
+    ``revision`` is the revision after which the next watch continues.
+    """
 
     changes: tuple
     revision: int
 
 
 class HistoryGone(exceptions.AnvilwellError):
-    """The service has forgotten the changes asked for; read anew."""
+    """The service no longer keeps these changes; read all entries again."""
 
 
 class StoreRecovered(exceptions.KeyValueUnavailable):
-    """A call hung until the store answered another one: repeat it now."""
+    """A hung call was cancelled as the store answers again; retry it."""
 
 
 class OutageTracker:
-    """Notes when the store answers again after it did not."""
+    """Detects when the store answers again after calls had failed."""
 
     def __init__(self):
         self._regained_listeners = []
@@ -47,16 +50,20 @@
     def listen_regained(self, callback):
         """Call `callback` when a call succeeds after one has failed.
 
-        A watch that waited meanwhile may hang on a dead connection.
+        A watch that was waiting during the outage may hang on a dead
+        connection, so the callback should restart it.
         """
         self._regained_listeners.append(callback)
 
     def note_failure(self):
-        """Note that a call had no answer."""
+        """Record that a call received no answer."""
         self._is_unanswered = True
 
     def note_success(self):
-        """Note that a call was answered."""
+        """Record that a call was answered.
+
+        If that ends an outage, notify the listeners and cancel hung calls.
+        """
         if self._is_unanswered:
             self._is_unanswered = False
             loop = asyncio.get_running_loop()
@@ -70,12 +77,13 @@
                 self._cancelled_calls.add(call)
 
     async def cancel_if_hung(self, call):
-        """Await `call`, a coroutine, as long as there is hope for it.
+        """Await the coroutine `call`, but cancel it if an outage made it hang.
 
         Raises
         ------
-        AnswersAgain
-            If it hung while the store gave no answer, which it does now.
+        StoreRecovered
+            If the call had been waiting for at least ``HANG_THRESHOLD_S`` when
+            the store answered another call after an outage.
         """
         task = asyncio.create_task(call)
         self._started_at_by_call[task] = asyncio.get_running_loop().time()
@@ -92,15 +100,15 @@
 
 
 class AsyncStore(OutageTracker, abc.ABC):
-    """Linearizable store; the types are those of ``ports.keyvalue``.
+    """Linearizable key-value store; the types are those of ``ports.keyvalue``.
 
-    Every method raises ``exceptions.KeyValueUnavailable``; its verdict
-    is ``NOT_RUN`` only if nothing was done.
+    Every method may raise ``exceptions.KeyValueUnavailable``. Its verdict is
+    ``NOT_RUN`` only if the call had no effect.
     """
 
     @abc.abstractmethod
     async def ping(self):
-        """Make the cheapest call there is."""
+        """Make the call that costs the service least."""
 
     @abc.abstractmethod
     async def get(self, key):
@@ -108,26 +116,29 @@
 
     @abc.abstractmethod
     async def get_prefix(self, prefix, after="", may_be_stale=False):
-        """Return the `Snapshot` of keys with `prefix` behind `after`.
+        """Return the `Snapshot` of the keys with `prefix` that follow `after`.
 
-        A stale read costs a tenth; it may be seconds old.
+        A stale read costs a tenth of a linearizable one, but its data may be
+        seconds old.
         """
 
     @abc.abstractmethod
     async def watch(self, prefix, revision, wait_s):
-        """Return the `Changes` after `revision`, perhaps none.
+        """Return the `Changes` after `revision`, possibly none.
+
+        Waits for a change for up to `wait_s` seconds.
 
         Raises
         ------
         HistoryGone
-            If they are no longer known.
+            If the service no longer keeps the changes after `revision`.
         """
 
     @abc.abstractmethod
     async def swap(self, swaps):
-        """Apply all `Swap`s and `Guard`s or none; a `SwapResult`.
+        """Apply all `Swap`s and `Guard`s or none; return a `SwapResult`.
 
-        If nothing landed, ``entries_by_key`` holds what is there now.
+        If they were not applied, ``entries_by_key`` holds the current entries.
 
         Raises
         ------
@@ -137,7 +148,7 @@
 
     @abc.abstractmethod
     async def put(self, key, value):
-        """Write `value`, whatever was there."""
+        """Write `value` to `key` whatever its revision."""
 
     @abc.abstractmethod
     async def remove(self, keys):
@@ -149,33 +160,34 @@
 
     @abc.abstractmethod
     async def keep_alive(self, lease):
-        """Renew `lease`; return whether it still holds."""
+        """Renew `lease`; return whether it is still valid."""
 
     @abc.abstractmethod
     async def revoke(self, lease):
-        """End `lease` and delete its keys."""
+        """End `lease` and delete the keys attached to it."""
 
 
 async def swap_until_known(store, swaps, timeout_s, refusal_timeout_s=None):
-    """Apply `swaps`, and repeat them while their outcome is unknown.
+    """Apply `swaps`, repeating them while their outcome is unknown.
 
-    Each swap must expect a revision that its own landing changes, so
-    that it lands once at most. If a first try landed and its answer was
-    lost, the repeat finds that entry: the caller tells its own value
-    from another's.
+    Each swap must expect a revision that applying it changes, so that it is
+    applied at most once. If an earlier attempt was applied but its answer was
+    lost, the repeated attempt finds the entry that it wrote; the caller
+    compares values to tell whether the entry is its own.
 
     Parameters
     ----------
     timeout_s : float
-        Longest time that the outcome may be unknown.
-    refused_s : float, optional
-        Give up after so long already if no try can ever land.
+        Longest time that the outcome may stay unknown.
+    refusal_timeout_s : float, optional
+        Give up after this time if every attempt was refused, so that none can
+        have been applied.
 
     Raises
     ------
     exceptions.KeyValueUnavailable
-        If the outcome is still not known; with ``NOT_RUN`` only if no
-        try may ever land.
+        If the outcome is still unknown. Its verdict is ``NOT_RUN`` only if no
+        attempt can still be applied.
     """
     loop = asyncio.get_running_loop()
     started_at = loop.time()
--- a/packages/gateway/anvilwell_gateway/store_paths.py
+++ b/packages/gateway/anvilwell_gateway/store_paths.py
@@ -1,8 +1,8 @@
-"""Ways to the platform's key-value service: direct, or through a peer.
+"""Paths to the platform's key-value service: direct, or through a peer.
 
-A VM that is cut off from the service alone, or turned away by it, goes on
-through an entry that still reaches it. Without this its lease lapses, its
-batches start anew elsewhere, and those that reach it are refused.
+A VM that is cut off from the service, or refused by it, continues through an
+entry that still reaches it. Otherwise its lease would lapse, its batches would
+restart elsewhere, and requests that reach it would be refused.
 """
 
 import abc
@@ -23,17 +23,20 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
 
-# Pages of a range hold about 1 MB; a watch may bring more at once.
+# Limit on the size of a response. Pages of a range hold about 1 MB; a watch
+# may return more at once.
 MAX_ANSWER_BYTES = 32 << 20
-# Between looks whether the direct path works again, in seconds: a detour
-# costs a peer's processor time, a look a tenth of a call.
+# Interval between probes of the direct path, in seconds. A call through a peer
+# costs that peer processor time; a probe costs a tenth of a call.
 PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.5
-# A peer waits as long as the direct path would; this is for the way there.
+# Added to the timeout of a call through a peer for the way to the peer, in
+# seconds. The peer itself waits as long as the direct path would.
 PEER_MARGIN_S = 0.2
 RELAY_TARGET = "/key-value"
 _POOL_KEY = "key-value"
-# The service refuses this VM, or all.
+# Status of a refusal: from the service, which refuses this VM or all VMs, or
+# from a relay whose call did not run.
 _NOT_RUN_STATUS = 503
 _UNKNOWN_STATUS = 504
 
@@ -41,9 +44,9 @@
 
 
 class StoreCall(typing.NamedTuple):
-    """One call to the service, as the platform's adapter spells it.
+    """One call to the service, as encoded by the platform's adapter.
 
-    ``kind`` is the product's own name for what the call does.
+    ``kind`` is the name that this product uses for the operation.
     """
 
     kind: str
@@ -55,23 +58,24 @@
 
 
 class StoreResponse(typing.NamedTuple):
-    """The service's answer to a `Call`."""
+    """The service's response to a `StoreCall`."""
 
     status: int
     body: bytes
 
 
 class StorePath(abc.ABC):
-    """A way to the service."""
+    """A path to the service."""
 
     @abc.abstractmethod
     async def send(self, call):
-        """Return the `Answer` to a `Call`.
+        """Return the `StoreResponse` to a `StoreCall`.
 
         Raises
         ------
         exceptions.KeyValueUnavailable
-            With ``NOT_RUN`` only if the service never got the call.
+            With the verdict ``NOT_RUN`` only if the service never received the
+            call.
         """
 
 
@@ -90,12 +94,12 @@
         self._pool = client.Pool(clock, use_keepalive=True)
 
     def move(self, address):
-        """Take a changed address of the service."""
+        """Use a new address of the service from now on."""
         self._address = address
         self._pool.forget(_POOL_KEY)
 
     async def send(self, call):
-        """Return the `Answer` to a `Call`."""
+        """Return the `StoreResponse` to a `StoreCall`."""
         question = messages.Request(
             call.method,
             call.target,
@@ -114,9 +118,9 @@
     Parameters
     ----------
     vm_id : str
-        The peer.
+        The peer's VM.
     address : options.Address
-        Where it serves its peers.
+        Where the peer serves other entries and agents.
     pool : client.Pool
         Connections to peers.
     """
@@ -127,7 +131,7 @@
         self._pool = pool
 
     async def send(self, call):
-        """Return the `Answer` that the peer got."""
+        """Return the `StoreResponse` that the peer received."""
         question = peer_calls.build_request(RELAY_TARGET, self._address, call)
         reply, body = await _ask(
             self._pool,
@@ -160,17 +164,19 @@
 
 
 class FailoverPath(StorePath):
-    """Takes the direct path, or one through a peer while that fails.
+    """Uses the direct path, or a path through a peer while that one fails.
 
-    A call that failed is not made again here: only who made it knows
-    whether it may be. Its next try takes the better path.
+    It does not retry a failed call, because only the caller can tell whether a
+    retry is safe. The caller's next attempt uses the path that is selected by
+    then.
 
     Parameters
     ----------
     direct : DirectPath
-        The path that is taken while it works.
-    probe : Call
-        The cheapest call there is; shows that the direct path works.
+        The path to use while it works.
+    probe : StoreCall
+        The call that costs the service least, to check whether the direct path
+        works.
     """
 
     def __init__(self, direct, probe, rng=None):
@@ -184,15 +190,16 @@
         self._probe_task = None
 
     def listen(self, callback):
-        """Call ``callback(is_answered)`` when another path is taken.
+        """Call ``callback(is_answered)`` when the selected path changes.
 
-        What waits on the path before may wait in vain. It is answered if
-        an answer by the new path is the cause.
+        Calls that wait on the previous path may never be answered.
+        ``is_answered`` is true if a response on the new path caused the
+        change.
         """
         self._listeners.append(callback)
 
     def set_peers(self, addresses_by_vm):
-        """Take in which peers may help, and where they are."""
+        """Set the peers that may relay calls, with their addresses."""
         self._paths_by_name = {choices.DIRECT: self.direct} | {
             vm_id: PeerPath(vm_id, address, self._pool)
             for vm_id, address in addresses_by_vm.items()
@@ -201,7 +208,7 @@
             self._changed("the peer is gone")
 
     async def send(self, call):
-        """Return the `Answer` to a `Call`."""
+        """Return the `StoreResponse` to a `StoreCall`."""
         loop = asyncio.get_running_loop()
         name = self._selector.current
         began_at = loop.time()
@@ -221,19 +228,19 @@
                 status=status,
             )
         if answer.status == _NOT_RUN_STATUS:
-            cause = "the service turns this VM away"
+            cause = "the service refuses this VM"
             self._failed(name, began_at, cause)
         else:
             self._answered(name)
         return answer
 
     def gauge_values(self):
-        """Return whether a peer makes the calls."""
+        """Return whether calls currently go through a peer."""
         is_through_peer = self._selector.current != choices.DIRECT
         return [measures.GaugeValue("store_through_peer", is_through_peer)]
 
     async def close(self):
-        """Probe no more and close the connections to peers."""
+        """Stop probing and close the connections to peers."""
         await tasks.stop(self._probe_task)
         self._pool.close()
 
@@ -255,7 +262,7 @@
             callback(is_answered)
 
     async def _probe(self):
-        """Look for the direct path until it works again."""
+        """Probe the direct path until it works again."""
         call = self._probe_call._replace(timeout_s=PROBE_TIMEOUT_S)
         for tries in itertools.count(1):
             await asyncio.sleep(PROBE_INTERVAL_S)
@@ -272,12 +279,12 @@
 class CallRelay:
     """Makes calls for peers that don't reach the service themselves.
 
-    Only by the direct path: a call never takes a second hop.
+    It only uses the direct path, so a call is never relayed twice.
 
     Parameters
     ----------
     direct : DirectPath
-        The way to the service.
+        The path to the service.
     """
 
     def __init__(self, direct):
