--- a/packages/gateway/anvilwell_gateway/duties/holding.py
+++ b/packages/gateway/anvilwell_gateway/duties/duty_election.py
@@ -20,12 +20,12 @@
 
 PREFIX = f"{cluster_states.PREFIX}duty/"
 # Between looks at who holds the duty, in seconds.
-LOOK_S = 0.3
+POLL_INTERVAL_S = 0.3
 # The next candidate tries so much later, in seconds: several times what a
 # take-over takes, so that entries seldom write at once.
 RANK_DELAY_S = 1.0
 # A process that starts waits so long for the others that start with it.
-SETTLE_S = 1.0
+STARTUP_WAIT_S = 1.0
 
 _LOG = logs.get_logger(__name__)
 
@@ -47,9 +47,9 @@
         Returns a time that counts suspension, in seconds.
     """
 
-    def __init__(self, won, vm_id, free_at, session, clock):
-        self._won = won
-        self._free_at = free_at
+    def __init__(self, leadership_tenure, vm_id, may_act_at, session, clock):
+        self._leadership_tenure = leadership_tenure
+        self._may_act_at = may_act_at
         self._session = session
         self._clock = clock
         self.vm_id = vm_id
@@ -57,12 +57,12 @@
     @property
     def fencing(self):
         """The number of this tenure."""
-        return self._won.fencing
+        return self._leadership_tenure.fencing
 
     @property
     def is_over(self):
         """Whether the lease is known to be another one by now."""
-        return self._session.lease != self._won.lease
+        return self._session.lease != self._leadership_tenure.lease
 
     def check(self):
         """Allow one outward act; call right before each.
@@ -73,8 +73,8 @@
             If another may hold the duty, or have acted just before.
         """
         now = self._clock()
-        leadership.check_tenure(self._won, self._session, now)
-        if now < self._free_at:
+        leadership.check_tenure(self._leadership_tenure, self._session, now)
+        if now < self._may_act_at:
             raise exceptions.Fenced(
                 "what the holder before has sent may still arrive",
                 reason=reasons.Refusal.NOT_LEADER,
@@ -98,16 +98,16 @@
         Least time between acts of holders that take turns, in seconds.
     """
 
-    def __init__(self, name, store, presence, cluster_state, turn_s):
+    def __init__(self, name, store, presence, cluster_state, handover_gap_s):
         self._name = name
         self._store = store
         self._presence = presence
         self._cluster_state = cluster_state
-        self._turn_s = turn_s
+        self._handover_gap_s = handover_gap_s
         self._clock = asyncio.get_running_loop().time
         self._keys = leadership.keys(name, PREFIX)
         self._leadership = leadership.Leadership(name, presence.vm_id, PREFIX)
-        self._vacant_since = self._clock() + SETTLE_S
+        self._vacant_since = self._clock() + STARTUP_WAIT_S
         self._is_vacant = False
         self._task = None
         self._holder = None
@@ -125,7 +125,7 @@
 
     def start(self):
         """Begin to look."""
-        self._task = asyncio.create_task(self._look_on())
+        self._task = asyncio.create_task(self._poll_forever())
 
     async def stop(self):
         """Take the duty no more; it ends with this process's lease."""
@@ -135,14 +135,14 @@
     def load(self, entries_by_key):
         """Take what the store tells of the holder."""
         entry = entries_by_key.get(self._keys.holder)
-        self._learn(entry and entry.value)
+        self._update_holder(entry and entry.value)
 
     def change(self, change):
         """Take a change of the holder."""
         if change.key == self._keys.holder:
-            self._learn(change.value)
+            self._update_holder(change.value)
 
-    def _learn(self, value):
+    def _update_holder(self, value):
         self._holder = None
         if value is None:
             if not self._is_vacant:
@@ -158,15 +158,15 @@
         self._holder = found.vm_id
         self._last_fencing = found.fencing
 
-    async def _look_on(self):
+    async def _poll_forever(self):
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             try:
-                await self._review()
+                await self._take_if_vacant()
             except exceptions.AnvilwellError as error:
                 _LOG.log("duty-not-taken", duty=self._name, cause=str(error))
 
-    async def _review(self):
+    async def _take_if_vacant(self):
         """Take the duty if nobody has it and it is our turn."""
         if self.tenure and self.tenure.is_over:
             _LOG.log("duty-lost", duty=self._name, fencing=self.tenure.fencing)
@@ -191,10 +191,10 @@
         found = snapshot.entries_by_key
         standing = self._leadership.standing(found, lease)
         if standing is leadership.Standing.OTHERS:
-            self._learn(found[self._keys.holder].value)
+            self._update_holder(found[self._keys.holder].value)
             return
         if standing is leadership.Standing.OURS:
-            won = self._leadership.read_tenure(found, lease)
+            leadership_tenure = self._leadership.read_tenure(found, lease)
         else:
             writes = self._leadership.takeover_writes(found, lease)
             result = await self._store.swap(
@@ -202,17 +202,19 @@
             )
             if not result.landed:
                 return
-            won = self._leadership.won_tenure(writes, lease)
-        _LOG.log("duty-taken", duty=self._name, fencing=won.fencing)
+            leadership_tenure = self._leadership.won_tenure(writes, lease)
+        _LOG.log(
+            "duty-taken", duty=self._name, fencing=leadership_tenure.fencing
+        )
         self.tenure = Tenure(
-            won,
+            leadership_tenure,
             self._presence.vm_id,
-            self._free_at(won.fencing),
+            self._may_act_at(leadership_tenure.fencing),
             self._presence.session,
             self._clock,
         )
 
-    def _free_at(self, fencing):
+    def _may_act_at(self, fencing):
         """Return from when on the holder with this number may act.
 
         The turn counts from when the holder before was seen to be gone, as
@@ -224,4 +226,4 @@
             return now
         has_seen = self._last_fencing == fencing - 1
         since = self._vacant_since if has_seen else now
-        return max(now, since + self._turn_s)
+        return max(now, since + self._handover_gap_s)
--- a/packages/gateway/anvilwell_gateway/duties/reports.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_accounting.py
@@ -2,22 +2,22 @@
 
 import abc
 
-from anvilwell_gateway.duties import holding
-from anvilwell_gateway.duties import reporting
-from anvilwell_gateway.duties import telling
+from anvilwell_gateway.duties import duty_election
+from anvilwell_gateway.duties import usage_notifier
+from anvilwell_gateway.duties import usage_reporter
 
 DUTY = "usage"
 # Peers ask for it under this target.
-TARGET = telling.TARGET
+TARGET = usage_notifier.TARGET
 
 
-class Usage(abc.ABC):
+class UsageAccounting(abc.ABC):
     """What an entry does about usage."""
 
     holder = None
 
     @abc.abstractmethod
-    def began(self, organisation, at):
+    def count_request(self, organisation, at):
         """Count a request that a replica began at loop time `at`."""
 
     @abc.abstractmethod
@@ -25,7 +25,7 @@
         """Begin to count, tell and report."""
 
     @abc.abstractmethod
-    async def let_go(self):
+    async def release_duty(self):
         """Leave the duty to another entry; go on to count and tell."""
 
     @abc.abstractmethod
@@ -41,16 +41,16 @@
         """Return each `measures.GaugeValue` as of now."""
 
 
-class NoUsage(Usage):
+class NoUsageAccounting(UsageAccounting):
     """Of a deployment whose platform wants no reports."""
 
-    def began(self, organisation, at):
+    def count_request(self, organisation, at):
         """Count nothing."""
 
     def start(self):
         """Do nothing."""
 
-    async def let_go(self):
+    async def release_duty(self):
         """Do nothing."""
 
     async def stop(self):
@@ -65,58 +65,60 @@
         return []
 
 
-class ReportedUsage(Usage):
+class ReportedUsageAccounting(UsageAccounting):
     """Counts, tells the holder, and reports if this entry is it."""
 
-    def __init__(self, duty, reporter, teller):
+    def __init__(self, duty, reporter, notifier):
         self._duty = duty
         self._reporter = reporter
-        self._teller = teller
+        self._notifier = notifier
 
     @classmethod
     def from_config(cls, settings, store, presence, cluster_state, platform):
         """Return the usage reports that `config.UsageSection` asks for."""
-        duty = holding.Duty(
+        duty = duty_election.Duty(
             DUTY, store, presence, cluster_state, settings.turn_s
         )
-        reporter = reporting.Reporter(
+        reporter = usage_reporter.UsageReporter(
             store, presence, cluster_state, duty, platform, settings
         )
-        teller = telling.Teller(
-            presence, cluster_state, duty, reporter.hear, settings
+        notifier = usage_notifier.UsageNotifier(
+            presence, cluster_state, duty, reporter.accept_counts, settings
         )
-        return cls(duty, reporter, teller)
+        return cls(duty, reporter, notifier)
 
     @property
     def holder(self):
         """The VM that reports usage, as far as is known here."""
         return self._duty.holder
 
-    def began(self, organisation, at):
+    def count_request(self, organisation, at):
         """Count a request that a replica began at loop time `at`."""
-        self._teller.began(organisation, at)
+        self._notifier.count_request(organisation, at)
 
     def start(self):
         """Begin to count, tell and report."""
         self._duty.start()
         self._reporter.start()
-        self._teller.start()
+        self._notifier.start()
 
-    async def let_go(self):
+    async def release_duty(self):
         """Leave the duty to another entry; go on to count and tell."""
         await self._duty.stop()
         await self._reporter.stop()
 
     async def stop(self):
         """Tell what was counted, and end."""
-        await self._teller.stop()
-        await self.let_go()
+        await self._notifier.stop()
+        await self.release_duty()
 
     async def answer(self, request, responder):
         """Take what another entry tells."""
-        told = telling.read_told(request.body)
-        true_time = self._reporter.hear(told)
-        await responder.send(200, (), telling.write_true_time(true_time))
+        counts = usage_notifier.decode_counts(request.body)
+        true_time = self._reporter.accept_counts(counts)
+        await responder.send(
+            200, (), usage_notifier.encode_true_time(true_time)
+        )
 
     def gauge_values(self):
         """Return each `measures.GaugeValue` as of now."""
@@ -124,13 +126,13 @@
 
 
 def build(settings, platform, presence, cluster_state):
-    """Return the `Usage` that the `config.Settings` ask for."""
+    """Return the `UsageAccounting` that the `config.Settings` ask for."""
     if settings.usage is None:
-        return NoUsage()
-    return ReportedUsage.from_config(
+        return NoUsageAccounting()
+    return ReportedUsageAccounting.from_config(
         settings.usage,
         platform.store,
         presence,
         cluster_state,
-        platform.duties_at(settings.usage.endpoint),
+        platform.usage_platform_at(settings.usage.endpoint),
     )
--- a/packages/gateway/anvilwell_gateway/duties/telling.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_notifier.py
@@ -21,22 +21,22 @@
 
 TARGET = "/usage"
 # Between looks at what is to be told, in seconds.
-LOOK_S = 0.25
+POLL_INTERVAL_S = 0.25
 # What began is told within so long, in seconds: what a process that is
 # killed has not told is missing in a report.
-TELL_S = 1.0
+NOTIFY_INTERVAL_S = 1.0
 # A window is told as whole so long after its end, in seconds: most of what
 # began in it has an answer by then, or its first event.
-CLOSE_S = 0.6
-LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=4 << 10)
+WINDOW_CLOSE_DELAY_S = 0.6
+CALL_LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=4 << 10)
 
-_TOLD = pydantic.TypeAdapter(usage.ProcessCounts)
-_TRUE_TIME = pydantic.TypeAdapter(float | None)
+_COUNTS_ADAPTER = pydantic.TypeAdapter(usage.ProcessCounts)
+_TRUE_TIME_ADAPTER = pydantic.TypeAdapter(float | None)
 
 _LOG = logs.get_logger(__name__)
 
 
-def read_told(body):
+def decode_counts(body):
     """Return the `usage.ProcessCounts` in a request's body.
 
     Raises
@@ -44,10 +44,10 @@
     exceptions.BadRequest
         If it holds none.
     """
-    return peer_calls.decode(_TOLD, body, "counts")
+    return peer_calls.decode(_COUNTS_ADAPTER, body, "counts")
 
 
-class Teller:
+class UsageNotifier:
     """Counts here and tells the holder.
 
     Parameters
@@ -56,7 +56,7 @@
         This process.
     cluster_state : cluster_state.ClusterState
         Where other processes are.
-    duty : holding.Duty
+    duty : duty_election.Duty
         Who the holder is.
     hear : callable
         Takes what is told if that is this process; returns true time.
@@ -71,7 +71,7 @@
         presence,
         cluster_state,
         duty,
-        hear,
+        accept_counts,
         settings,
         wall_time=time.time,
     ):
@@ -79,61 +79,65 @@
         self._presence = presence
         self._cluster_state = cluster_state
         self._duty = duty
-        self._hear = hear
+        self._accept_counts = accept_counts
         self._window_s = settings.window_s
-        self._keep_s = settings.window_s + settings.late_s
+        self._retention_s = settings.window_s + settings.late_s
         self._clock = asyncio.get_running_loop().time
         self._started_at = self._clock()
         self._pool = client.Pool(self._clock, True)
-        self._tally = usage.RequestCounter()
+        self._request_counter = usage.RequestCounter()
         self._offset_s = wall_time() - self._started_at
-        self._told_at = float("-inf")
-        self._told_to = None
-        self._number = 0
+        self._notified_at = float("-inf")
+        self._notified_holder = None
+        self._sequence = 0
         self._is_changed = False
         self._task = None
 
-    def began(self, organisation, at):
+    def count_request(self, organisation, at):
         """Count a request that a replica began at loop time `at`."""
         if organisation:
-            self._tally.add(organisation, at)
+            self._request_counter.add(organisation, at)
             self._is_changed = True
 
     def start(self):
         """Begin to tell."""
-        self._task = asyncio.create_task(self._tell_on())
+        self._task = asyncio.create_task(self._notify_forever())
 
     async def stop(self):
         """Tell no more, after a last time."""
         task, self._task = self._task, None
         if task:
             await tasks.stop(task)
-            await self._tell(self._duty.holder)
+            await self._notify(self._duty.holder)
         self._pool.close()
 
-    async def _tell_on(self):
+    async def _notify_forever(self):
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             holder = self._duty.holder
-            if self._is_due(holder) and not await self._tell(holder):
-                await asyncio.sleep(TELL_S)
+            if self._is_due(holder) and not await self._notify(holder):
+                await asyncio.sleep(NOTIFY_INTERVAL_S)
 
     def _is_due(self, holder):
         """Return whether the holder lacks something that it should know."""
-        if holder != self._told_to:
+        if holder != self._notified_holder:
             return True
         now = self._clock()
-        if self._is_changed and now - self._told_at >= TELL_S:
+        if self._is_changed and now - self._notified_at >= NOTIFY_INTERVAL_S:
             return True
-        return self._closed(now) > self._closed(self._told_at)
+        return self._first_open_window(now) > self._first_open_window(
+            self._notified_at
+        )
 
-    def _closed(self, at):
+    def _first_open_window(self, at):
         """Return the first window that is not over at loop time `at`."""
         if math.isinf(at):
             return 0
-        return math.floor((at + self._offset_s - CLOSE_S) / self._window_s)
+        return math.floor(
+            (at + self._offset_s - WINDOW_CLOSE_DELAY_S) / self._window_s
+        )
 
-    async def _tell(self, holder):
+    async def _notify(self, holder):
         """Tell all that is not reported yet, and learn true time.
 
         Return whether it was taken.
@@ -141,44 +145,44 @@
         if holder is None:
             return False
         now = self._clock()
-        self._number += 1
-        self._tally.forget(now - self._keep_s)
-        told = usage.ProcessCounts(
+        self._sequence += 1
+        self._request_counter.forget(now - self._retention_s)
+        counts = usage.ProcessCounts(
             self._presence.vm_id,
             self._presence.incarnation,
-            self._number,
+            self._sequence,
             self._wall_time(),
             self._started_at + self._offset_s,
             now + self._offset_s,
-            self._tally.counts(self._offset_s, self._window_s),
+            self._request_counter.counts(self._offset_s, self._window_s),
         )
         self._is_changed = False
         try:
-            true_time = await self._true_time(holder, told)
+            true_time = await self._fetch_true_time(holder, counts)
         except exceptions.AnvilwellError as error:
             self._is_changed = True
-            self._told_to = None
+            self._notified_holder = None
             _LOG.log("usage-not-told", holder=holder, cause=error.message)
             return False
-        self._told_to = holder
-        self._told_at = now
+        self._notified_holder = holder
+        self._notified_at = now
         if true_time is not None:
             # It was true half a round trip ago.
             self._offset_s = true_time - (now + self._clock()) / 2
         return True
 
-    async def _true_time(self, holder, told):
+    async def _fetch_true_time(self, holder, counts):
         if holder == self._presence.vm_id:
-            return self._hear(told)
+            return self._accept_counts(counts)
         address = self._cluster_state.addresses_by_vm.get(holder)
         if address is None:
             raise exceptions.Refused("the holder is not known to live")
         body = await peer_calls.call(
-            self._pool, holder, address, TARGET, told, LIMITS
+            self._pool, holder, address, TARGET, counts, CALL_LIMITS
         )
-        return peer_calls.decode(_TRUE_TIME, body, "true time")
+        return peer_calls.decode(_TRUE_TIME_ADAPTER, body, "true time")
 
 
-def write_true_time(true_time):
-    """Return the body that answers what was told; see `Reporter.hear`."""
+def encode_true_time(true_time):
+    """Return the body that answers what was told; see `UsageReporter.hear`."""
     return cbor2.dumps(true_time)
--- a/packages/gateway/anvilwell_gateway/duties/port.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_platform.py
@@ -3,7 +3,7 @@
 import abc
 
 
-class DutyPlatform(abc.ABC):
+class UsagePlatform(abc.ABC):
     """Takes the calls of duties.
 
     Nothing can be read back, and the platform may not check fencing
@@ -18,7 +18,7 @@
         ----------
         report : usage.Report
             The window and its counts; sent once more, it must be the same.
-        tenure : holding.Tenure
+        tenure : duty_election.Tenure
             The holder. It is checked once the connection is there, right
             before the call is written.
 
--- a/packages/gateway/anvilwell_gateway/duties/reporting.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_reporter.py
@@ -24,24 +24,24 @@
 
 LEDGER_KEY = "anvilwell/usage/ledger"
 # Between looks at what is due, in seconds.
-LOOK_S = 0.25
+POLL_INTERVAL_S = 0.25
 # A window is reported so long after its end, in seconds: callers wait for
 # about two seconds, and what began may be known only by its answer.
-SETTLE_S = 2.0
+REPORT_DELAY_S = 2.0
 # For processes that live but have not told of the whole window, a report
 # waits so long after the window's end, in seconds; they may be cut off.
-PATIENCE_S = 5.0
+MAX_REPORT_DELAY_S = 5.0
 # Clocks that were not heard for so long are not counted, in seconds.
-CLOCK_S = 20.0
+CLOCK_RETENTION_S = 20.0
 # How long the outcome of a write may be unknown, in seconds.
 WRITE_TIMEOUT_S = 2.0
 
-_LEDGER = pydantic.TypeAdapter(usage.Ledger)
+_LEDGER_ADAPTER = pydantic.TypeAdapter(usage.Ledger)
 
 _LOG = logs.get_logger(__name__)
 
 
-class Reporter:
+class UsageReporter:
     """Gathers what is told, and reports each window once.
 
     Parameters
@@ -52,9 +52,9 @@
         This process.
     cluster_state : cluster_state.ClusterState
         Which processes live.
-    duty : holding.Duty
+    duty : duty_election.Duty
         Whether this process is the holder.
-    platform : port.DutyPlatform
+    platform : usage_platform.UsagePlatform
         Takes the reports.
     settings : config.UsageSection
         Windows and when their reports are due.
@@ -83,13 +83,13 @@
         self._clock = asyncio.get_running_loop().time
         self._collected = usage.CollectedCounts(settings.window_s)
         self._true_time = usage.TrueTime()
-        self._loaded_for = None
+        self._loaded_tenure = None
         self._ledger = usage.Ledger()
         self._revision = 0
         self._unsent = []
         self._task = None
 
-    def hear(self, told):
+    def accept_counts(self, told):
         """Add a `usage.ProcessCounts`; return true time, None if unknown.
 
         Raises
@@ -102,11 +102,11 @@
             raise exceptions.Refused("this VM does not report usage")
         self._true_time.record(told.vm_id, told.wall_time, self._clock())
         self._collected.add(told)
-        return self._true_now() if self._knows_time() else None
+        return self._true_time_now() if self._is_time_known() else None
 
     def start(self):
         """Begin to look for what is due."""
-        self._task = asyncio.create_task(self._look_on())
+        self._task = asyncio.create_task(self._poll_forever())
 
     async def stop(self):
         """Report no more, and leave the next holder what was told."""
@@ -114,7 +114,7 @@
         if task is None:
             return
         await tasks.stop(task)
-        if self._loaded_for is None:
+        if self._loaded_tenure is None:
             if self._duty.tenure:
                 cause = "the ledger was being read or written"
                 _LOG.log("usage-not-left", cause=cause)
@@ -133,33 +133,33 @@
             measures.GaugeValue("reports_unsent", len(self._unsent)),
         ]
 
-    def _knows_time(self):
+    def _is_time_known(self):
         """Return whether the clocks of most VMs that live were heard.
 
         Until then a clock that is wrong could be taken for true: a new
         holder hears all others within about a second.
         """
-        self._true_now()
+        self._true_time_now()
         return self._true_time.is_known(
             len(self._cluster_state.incarnations_by_vm)
         )
 
-    def _true_now(self):
+    def _true_time_now(self):
         now = self._clock()
         self._true_time.record(self._presence.vm_id, self._wall_time(), now)
-        self._true_time.forget(now - CLOCK_S)
+        self._true_time.forget(now - CLOCK_RETENTION_S)
         return now + self._true_time.offset_s
 
-    async def _look_on(self):
+    async def _poll_forever(self):
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if self._duty.tenure is None:
-                self._loaded_for = None
+                self._loaded_tenure = None
                 continue
-            if not self._knows_time():
+            if not self._is_time_known():
                 continue
             try:
-                await self._work(self._duty.tenure)
+                await self._report_due_windows(self._duty.tenure)
             except exceptions.Fenced as error:
                 # The holder before may have something under way, or this
                 # one's lease may have ended: either shows at a next look.
@@ -167,34 +167,36 @@
             except exceptions.AnvilwellError as error:
                 _LOG.log("usage-not-reported", cause=error.message)
 
-    async def _work(self, tenure):
+    async def _report_due_windows(self, tenure):
         """Record what is due, then send what is recorded."""
-        if self._loaded_for is not tenure:
+        if self._loaded_tenure is not tenure:
             await self._load(tenure)
-        self._collected.forget(self._true_now() - 2 * self._late_s)
+        self._collected.forget(self._true_time_now() - 2 * self._late_s)
         tenure.check()
-        for window in self._due():
+        for window in self._due_windows():
             await self._record(window)
         await self._send(tenure)
 
     async def _load(self, tenure):
         """Learn what the holders before have recorded."""
         entry = await self._store.get(LEDGER_KEY)
-        self._take(entry)
+        self._read_ledger(entry)
         for told in self._ledger.told:
             self._collected.add(told)
         self._unsent = list(self._ledger.reports)
-        self._loaded_for = tenure
+        self._loaded_tenure = tenure
 
-    def _take(self, entry):
+    def _read_ledger(self, entry):
         self._revision = entry.revision if entry else 0
         self._ledger = usage.Ledger()
         if entry is not None:
-            self._ledger = peer_calls.decode(_LEDGER, entry.value, "ledger")
+            self._ledger = peer_calls.decode(
+                _LEDGER_ADAPTER, entry.value, "ledger"
+            )
 
-    def _due(self):
+    def _due_windows(self):
         """Return the windows that are to be recorded now, in order."""
-        now = self._true_now()
+        now = self._true_time_now()
         first = math.floor((now - self._late_s) / self._window_s)
         first = max(first, self._ledger.last + 1)
         due = []
@@ -211,7 +213,9 @@
         _, end = self._collected.bounds(window)
         lives = self._cluster_state.incarnations_by_vm.values()
         is_whole = self._collected.is_complete(window, lives)
-        return now >= end + (SETTLE_S if is_whole else PATIENCE_S)
+        return now >= end + (
+            REPORT_DELAY_S if is_whole else MAX_REPORT_DELAY_S
+        )
 
     async def _record(self, window):
         report = self._collected.report(window)
@@ -236,7 +240,7 @@
         """
         value = cbor2.dumps(ledger)
         swap = keyvalue.Swap(LEDGER_KEY, self._revision, value)
-        self._loaded_for, tenure = None, self._loaded_for
+        self._loaded_tenure, tenure = None, self._loaded_tenure
         result = await stores.swap_until_known(
             self._store, [swap], WRITE_TIMEOUT_S
         )
@@ -246,14 +250,14 @@
             raise exceptions.Conflict("the ledger of usage is another's now")
         self._revision = result.revision if result.landed else entry.revision
         self._ledger = ledger
-        self._loaded_for = tenure
+        self._loaded_tenure = tenure
 
     async def _send(self, tenure):
         """Send what is recorded and not known to have been taken."""
         while self._unsent:
             report = self._unsent[0]
             _, end = self._collected.bounds(report.window)
-            if self._true_now() > end + self._late_s:
+            if self._true_time_now() > end + self._late_s:
                 _LOG.log("usage-too-late", window=report.window)
             else:
                 await self._platform.report_usage(report, tenure)
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -175,7 +175,7 @@
         close_at = loop.time() + LISTEN_AFTER_SIGTERM_S
         await self._substitute_orderer.stop()
         await self._batches.release()
-        await self.live_calls.usage.let_go()
+        await self.live_calls.usage.release_duty()
         await self.fleet.presence.stop()
         await asyncio.sleep(close_at - loop.time())
         await self.frontend.finish()
--- a/packages/gateway/anvilwell_gateway/live_calls.py
+++ b/packages/gateway/anvilwell_gateway/live_calls.py
@@ -2,7 +2,7 @@
 
 from anvilwell_gateway import admission
 from anvilwell_gateway import crash_tracker
-from anvilwell_gateway.duties import reports
+from anvilwell_gateway.duties import usage_accounting
 from anvilwell_gateway import forwarding
 
 
@@ -38,7 +38,7 @@
             crash_tracker.PREFIX, self.crash_tracker
         )
         fleet.cluster_state.listen_entries(self.crash_tracker.entries_changed)
-        self.usage = reports.build(
+        self.usage = usage_accounting.build(
             settings, platform, fleet.presence, fleet.cluster_state
         )
         self.forwarder = forwarding.Forwarder(
@@ -47,14 +47,14 @@
             pool,
             fleet.configuration,
             self.crash_tracker,
-            self.usage.began,
+            self.usage.count_request,
         )
 
     @classmethod
     def from_config(cls, settings, platform, fleet, pool, peer_server):
         """Build live calls whose requests from peers `peer_server` passes."""
         live_calls = cls(settings, platform, fleet, pool)
-        peer_server.handle(reports.TARGET, live_calls.usage.answer)
+        peer_server.handle(usage_accounting.TARGET, live_calls.usage.answer)
         for target in crash_tracker.TARGETS:
             peer_server.handle(target, live_calls.crash_tracker.answer)
         return live_calls
--- a/packages/gateway/anvilwell_gateway/platforms.py
+++ b/packages/gateway/anvilwell_gateway/platforms.py
@@ -1,9 +1,9 @@
-"""What an adapter to a platform brings."""
+"""The set of ports that an adapter to a platform implements."""
 
 import typing
 
 from anvilwell_gateway import dialect as dialects
-from anvilwell_gateway.duties import port
+from anvilwell_gateway.duties import usage_platform
 from anvilwell_gateway import engine as engines
 from anvilwell_gateway import store as stores
 from anvilwell_gateway import store_codec
@@ -11,10 +11,10 @@
 
 
 class Platform(typing.NamedTuple):
-    """The adapter's parts.
+    """The parts that an adapter to a platform provides.
 
-    ``engine_at`` takes an engine's address, ``duties_at`` that of what is
-    told of usage.
+    ``engine_at`` takes the address of an engine, and
+    ``usage_platform_at`` the address that receives usage reports.
     """
 
     store: stores.AsyncStore
@@ -22,4 +22,4 @@
     codec: store_codec.StoreCodec
     dialect: dialects.Dialect
     engine_at: typing.Callable[..., engines.Engine]
-    duties_at: typing.Callable[..., port.DutyPlatform]
+    usage_platform_at: typing.Callable[..., usage_platform.UsagePlatform]
--- a/packages/gateway/tests/duties/duty_world.py
+++ b/packages/gateway/tests/duties/duty_simulation.py
@@ -11,12 +11,12 @@
 
 from anvilwell_decisions.duties import usage
 from anvilwell_gateway import config
-from anvilwell_gateway.duties import holding
-from anvilwell_gateway.duties import reporting
+from anvilwell_gateway.duties import duty_election
+from anvilwell_gateway.duties import usage_reporter
 from anvilwell_gateway.http import client
 from anvilwell_gateway import live_keys
 from anvilwell_gateway import presence
-from anvilwell_gateway_standins import duties as judges
+from anvilwell_gateway_standins import duties as usage_checks
 from anvilwell_kernel.config import options
 from anvilwell_kernel import exceptions
 from anvilwell_outside.ports import keyvalue
@@ -27,7 +27,7 @@
 ANSWER_S = 0.004
 TIMEOUT_S = 0.8
 # What arrives so soon after its sender goes on does not count.
-THAW_S = 0.3
+RESUME_GRACE_S = 0.3
 # True time when the loop's clock is 0.
 EPOCH_S = 1_000_000.0
 # A write without an answer may land so much later.
@@ -37,7 +37,7 @@
 )
 
 
-class Store:
+class FakeStore:
     """Keeps entries with revisions, and leases that end."""
 
     def __init__(self):
@@ -106,7 +106,7 @@
         return keyvalue.SwapResult(True, self.revision, {})
 
 
-class Reach:
+class StoreConnection:
     """The store as one VM reaches it.
 
     ``fault`` is "" or what happens to its calls: ``silent`` (not done),
@@ -143,7 +143,7 @@
     async def _call(self, act, is_write=False):
         try:
             async with asyncio.timeout(TIMEOUT_S):
-                await self._vm.goes_on()
+                await self._vm.wait_until_running()
                 await asyncio.sleep(ANSWER_S / 2)
                 fault = self.fault
                 if fault == "late" and is_write:
@@ -155,7 +155,7 @@
                 await asyncio.sleep(ANSWER_S / 2)
                 if fault == "lost":
                     await asyncio.get_running_loop().create_future()
-                await self._vm.goes_on()
+                await self._vm.wait_until_running()
                 return result
         except TimeoutError:
             raise exceptions.KeyValueUnavailable("no answer") from None
@@ -174,7 +174,7 @@
         return
 
 
-class Platform:
+class FakePlatform:
     """Takes reports; ``fault`` is "", ``busy`` or ``lost``."""
 
     def __init__(self, vm, calls):
@@ -185,19 +185,19 @@
     async def report_usage(self, report, tenure):
         await asyncio.sleep(ANSWER_S)
         tenure.check()
-        await self._vm.goes_on()
+        await self._vm.wait_until_running()
         await asyncio.sleep(ANSWER_S)
         if self.fault == "busy":
             raise client.call_error("busy")
         now = asyncio.get_running_loop().time()
         self._calls.append(
-            judges.Call(
+            usage_checks.Call(
                 now,
                 tenure.vm_id,
                 tenure.fencing,
                 report.window,
                 dict(report.by_organisation),
-                now - self._vm.went_on_at <= THAW_S,
+                now - self._vm.resumed_at <= RESUME_GRACE_S,
             )
         )
         if self.fault == "lost":
@@ -205,13 +205,13 @@
             raise client.call_error("no answer")
 
 
-class ClusterState:
+class PollingClusterState:
     """Polls who lives, and tells the duty of its holder."""
 
     POLL_S = 0.2
 
-    def __init__(self, reach):
-        self._reach = reach
+    def __init__(self, store):
+        self._store = store
         self._takers_by_prefix = {}
         self.incarnations_by_vm = {}
         self.is_loaded = False
@@ -228,7 +228,7 @@
             await asyncio.sleep(self.POLL_S)
 
     async def _poll(self):
-        snapshot = await self._reach.get_prefix("anvilwell/")
+        snapshot = await self._store.get_prefix("anvilwell/")
         found = snapshot.entries_by_key
         live = {
             key: entry
@@ -245,23 +245,23 @@
             )
 
 
-class Vm:
+class SimulatedVm:
     """One life of one VM."""
 
     def __init__(self, vm_id, store, calls):
         self.vm_id = vm_id
-        self._is_on = asyncio.Event()
-        self._is_on.set()
-        self.went_on_at = float("-inf")
-        self.reach = Reach(store, self)
-        self.platform = Platform(self, calls)
-        self.presence = presence.Presence(self.reach, vm_id)
-        self.cluster_state = ClusterState(self.reach)
-        self.duty = holding.Duty(
-            "usage", self.reach, self.presence, self.cluster_state, TURN_S
+        self._running = asyncio.Event()
+        self._running.set()
+        self.resumed_at = float("-inf")
+        self.store = StoreConnection(store, self)
+        self.platform = FakePlatform(self, calls)
+        self.presence = presence.Presence(self.store, vm_id)
+        self.cluster_state = PollingClusterState(self.store)
+        self.duty = duty_election.Duty(
+            "usage", self.store, self.presence, self.cluster_state, TURN_S
         )
-        self.reporter = reporting.Reporter(
-            self.reach,
+        self.reporter = usage_reporter.UsageReporter(
+            self.store,
             self.presence,
             self.cluster_state,
             self.duty,
@@ -271,23 +271,23 @@
         )
         self.started_at = asyncio.get_running_loop().time()
         self.tally = usage.RequestCounter()
-        self.told_times = 0
+        self.notice_count = 0
         self._tasks = []
 
-    async def goes_on(self):
+    async def wait_until_running(self):
         """Wait while the VM is suspended."""
-        await self._is_on.wait()
+        await self._running.wait()
 
     @property
-    def is_on(self):
-        return self._is_on.is_set()
+    def is_running(self):
+        return self._running.is_set()
 
     def suspend(self):
-        self._is_on.clear()
+        self._running.clear()
 
     def resume(self):
-        self.went_on_at = asyncio.get_running_loop().time()
-        self._is_on.set()
+        self.resumed_at = asyncio.get_running_loop().time()
+        self._running.set()
 
     def start(self):
         self.presence.start("127.0.0.1:1")
@@ -315,13 +315,13 @@
         await self.presence.stop()
         await self.kill()
 
-    def told(self):
-        self.told_times += 1
+    def process_counts(self):
+        self.notice_count += 1
         now = wall_time()
         return usage.ProcessCounts(
             self.vm_id,
             self.presence.incarnation,
-            self.told_times,
+            self.notice_count,
             now,
             self.started_at + EPOCH_S,
             now,
@@ -329,20 +329,20 @@
         )
 
 
-class World:
+class DutySimulation:
     """Some VMs whose callers send requests all the time."""
 
-    TELL_S = 0.5
+    REPORT_INTERVAL_S = 0.5
 
     def __init__(self, vm_ids):
-        self.store = Store()
+        self.store = FakeStore()
         self.calls = []
         self.vms_by_id = {}
         for vm_id in vm_ids:
             self.start(vm_id)
 
     def start(self, vm_id):
-        vm = Vm(vm_id, self.store, self.calls)
+        vm = SimulatedVm(vm_id, self.store, self.calls)
         vm.start()
         self.vms_by_id[vm_id] = vm
 
@@ -362,17 +362,17 @@
     async def run_traffic(self):
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(self.TELL_S)
+            await asyncio.sleep(self.REPORT_INTERVAL_S)
             for vm in list(self.vms_by_id.values()):
-                if vm.is_on:
+                if vm.is_running:
                     vm.tally.add("schools", loop.time())
-                    self._tell(vm.told())
+                    self._deliver_counts(vm.process_counts())
 
-    def _tell(self, told):
+    def _deliver_counts(self, process_counts):
         for other in self.vms_by_id.values():
             try:
-                if other.is_on:
-                    other.reporter.hear(told)
+                if other.is_running:
+                    other.reporter.accept_counts(process_counts)
             except exceptions.Refused:
                 continue
 
@@ -382,4 +382,4 @@
             await vm.kill()
 
     def breaches(self):
-        return judges.find_breaches(self.calls, TURN_S)
+        return usage_checks.find_breaches(self.calls, TURN_S)
--- a/packages/gateway/tests/duties/test_duty.py
+++ b/packages/gateway/tests/duties/test_duty.py
@@ -9,15 +9,15 @@
 import asyncio
 
 from anvilwell_decisions.duties import rendezvous
-from anvilwell_gateway.duties import holding
-from anvilwell_gateway.duties import reporting
+from anvilwell_gateway.duties import duty_election
+from anvilwell_gateway.duties import usage_reporter
 from anvilwell_kernel import exceptions
 from anvilwell_outside.ports import keyvalue
 import hypothesis
 from hypothesis import strategies as st
 import pytest
 
-import duty_world
+import duty_simulation
 
 VMS = ["entry-1", "entry-2", "entry-3"]
 FAULTS = {
@@ -28,12 +28,12 @@
 
 
 @pytest.fixture(scope="session")
-def played(run_virtual):
-    """Return what plays a scenario and gives its `duty_world.World`."""
+def simulate(run_virtual):
+    """Return what plays a scenario and gives its `duty_simulation.World`."""
 
     def play(scenario):
         async def run():
-            world = duty_world.World(VMS)
+            world = duty_simulation.DutySimulation(VMS)
             traffic = asyncio.create_task(world.run_traffic())
             try:
                 await scenario(world)
@@ -47,7 +47,7 @@
     return play
 
 
-async def _do(world, vm_id, action, for_s):
+async def _inject(world, vm_id, action, duration_s):
     """Have something happen to a VM for some time."""
     if action in ("kill", "drain"):
         await world.restart(vm_id, action == "drain")
@@ -56,13 +56,13 @@
     loop = asyncio.get_running_loop()
     if action == "suspend":
         vm.suspend()
-        loop.call_later(for_s, vm.resume)
+        loop.call_later(duration_s, vm.resume)
     elif action in FAULTS:
-        vm.reach.fault = action
-        loop.call_later(for_s, setattr, vm.reach, "fault", "")
+        vm.store.fault = action
+        loop.call_later(duration_s, setattr, vm.store, "fault", "")
     else:
         vm.platform.fault = action.removeprefix("platform-")
-        loop.call_later(for_s, setattr, vm.platform, "fault", "")
+        loop.call_later(duration_s, setattr, vm.platform, "fault", "")
 
 
 ACTIONS = (
@@ -87,36 +87,36 @@
 
 @hypothesis.settings(max_examples=40, deadline=None)
 @hypothesis.given(steps=STEPS)
-def test_holders_take_no_turns_and_a_window_is_told_once(played, steps):
+def test_holders_take_no_turns_and_a_window_is_told_once(simulate, steps):
     async def scenario(world):
         await asyncio.sleep(3.0)
-        for vm_id, action, for_s, wait_s in steps:
+        for vm_id, action, duration_s, wait_s in steps:
             holders = [vm.vm_id for vm in world.holders] or VMS
             name = holders[0] if vm_id == "holder" else vm_id
-            await _do(world, name, action, for_s)
+            await _inject(world, name, action, duration_s)
             await asyncio.sleep(wait_s)
         await asyncio.sleep(25.0)
 
-    world = played(scenario)
+    world = simulate(scenario)
     assert world.breaches() == []
     # Whatever happened, there is a holder again, and it reports.
-    now = duty_world.EPOCH_S + 3.0 + sum(step[3] for step in steps) + 25.0
+    now = duty_simulation.EPOCH_S + 3.0 + sum(step[3] for step in steps) + 25.0
     last = max(call.window for call in world.calls)
-    assert last >= now // duty_world.WINDOW_S - 4
+    assert last >= now // duty_simulation.WINDOW_S - 4
 
 
-def test_on_a_calm_day_each_window_is_told_once_and_whole(played):
+def test_on_a_calm_day_each_window_is_told_once_and_whole(simulate):
     async def scenario(world):
         await asyncio.sleep(33.0)
 
-    world = played(scenario)
+    world = simulate(scenario)
     counts = {call.window: call.counts for call in world.calls}
     assert len(world.calls) == len(counts) == 6
     # The first one began before the VMs did: they count half seconds.
     assert list(counts.values())[1:] == [{"schools": 30}] * 5
 
 
-def test_a_successor_sends_what_was_recorded_and_not_taken(played):
+def test_a_successor_sends_what_was_recorded_and_not_taken(simulate):
     """The platform lost the answer; the holder was killed then."""
 
     async def scenario(world):
@@ -128,7 +128,7 @@
         await world.restart(holder.vm_id, False)
         await asyncio.sleep(12.0)
 
-    world = played(scenario)
+    world = simulate(scenario)
     first = world.calls[0]
     again = [call for call in world.calls[1:] if call.window == first.window]
     assert world.breaches() == []
@@ -136,7 +136,7 @@
     assert any(call.fencing > first.fencing for call in again)
 
 
-def test_holders_that_leave_one_after_the_other_take_no_turns(played):
+def test_holders_that_leave_one_after_the_other_take_no_turns(simulate):
     """A release: each holder leaves as soon as it has the duty.
 
     Each has to send what the one before recorded, at once if it may. The
@@ -156,13 +156,13 @@
         await asyncio.sleep(8.0)
 
     restarts = []
-    world = played(scenario)
+    world = simulate(scenario)
     assert world.calls
     assert world.breaches() == []
 
 
 def test_a_holder_that_is_suspended_before_it_sends_is_not_heard_later(
-    played,
+    simulate,
 ):
     """Its lease ends meanwhile; what it still sends on its return is old."""
 
@@ -175,11 +175,11 @@
             holder.resume()
             await asyncio.sleep(1.0)
 
-    world = played(scenario)
+    world = simulate(scenario)
     assert world.breaches() == []
 
 
-def test_a_holder_that_is_drained_and_kept_running_acts_no_more(played):
+def test_a_holder_that_is_drained_and_kept_running_acts_no_more(simulate):
     """A stopping entry has seconds to go on, but not with the duty."""
 
     async def scenario(world):
@@ -190,10 +190,10 @@
         with pytest.raises(exceptions.Fenced):
             tenure.check()
 
-    played(scenario)
+    simulate(scenario)
 
 
-def test_a_new_holder_whose_clock_is_wrong_tells_no_time(played):
+def test_a_new_holder_whose_clock_is_wrong_tells_no_time(simulate):
     """Until it has heard most clocks, its own would be taken for true."""
 
     async def scenario(world):
@@ -201,32 +201,36 @@
         (holder,) = world.holders
         reporter = holder.reporter
         reporter._true_time.forget(float("inf"))
-        told = world.vms_by_id[VMS[0]].told()._replace(vm_id="a")
-        answers.append(reporter.hear(told._replace(vm_id=holder.vm_id)))
-        answers.append(reporter.hear(told))
+        process_counts = (
+            world.vms_by_id[VMS[0]].process_counts()._replace(vm_id="a")
+        )
+        answers.append(
+            reporter.accept_counts(process_counts._replace(vm_id=holder.vm_id))
+        )
+        answers.append(reporter.accept_counts(process_counts))
 
     answers = []
-    played(scenario)
+    simulate(scenario)
     assert answers[0] is None
-    assert answers[1] == pytest.approx(duty_world.EPOCH_S + 3.0, abs=0.1)
+    assert answers[1] == pytest.approx(duty_simulation.EPOCH_S + 3.0, abs=0.1)
 
 
-def test_a_ledger_that_can_t_be_read_is_not_written_over(played):
+def test_a_ledger_that_can_t_be_read_is_not_written_over(simulate):
     """It may be a later release's; what it has settled must not change."""
 
     async def scenario(world):
-        unreadable = keyvalue.Entry(reporting.LEDGER_KEY, b"?", 1)
-        world.store.entries_by_key[reporting.LEDGER_KEY] = unreadable
+        unreadable = keyvalue.Entry(usage_reporter.LEDGER_KEY, b"?", 1)
+        world.store.entries_by_key[usage_reporter.LEDGER_KEY] = unreadable
         await asyncio.sleep(20.0)
-        entry = world.store.entries_by_key[reporting.LEDGER_KEY]
+        entry = world.store.entries_by_key[usage_reporter.LEDGER_KEY]
         assert entry == unreadable
-        del world.store.entries_by_key[reporting.LEDGER_KEY]
+        del world.store.entries_by_key[usage_reporter.LEDGER_KEY]
         await asyncio.sleep(8.0)
 
-    assert played(scenario).calls
+    assert simulate(scenario).calls
 
 
-def test_a_holder_that_drains_leaves_what_it_was_told(played):
+def test_a_holder_that_drains_leaves_what_it_was_told(simulate):
     """Its successor reports what VMs that are gone had told the first."""
 
     async def scenario(world):
@@ -239,14 +243,16 @@
         await world.restart(holder.vm_id, True)
         await asyncio.sleep(15.0)
 
-    world = played(scenario)
+    world = simulate(scenario)
     counts = {call.window: call.counts["schools"] for call in world.calls}
     assert world.breaches() == []
     assert set(list(counts.values())[1:]) == {30}
 
 
 @pytest.mark.parametrize("has_seen", [True, False])
-def test_a_turn_counts_from_when_the_holder_before_was_gone(played, has_seen):
+def test_a_turn_counts_from_when_the_holder_before_was_gone(
+    simulate, has_seen
+):
     """A report was late: it was due within the successor's turn.
 
     The store was silent for ten seconds, and the successor had waited its
@@ -274,9 +280,11 @@
         while not last.duty.tenure:
             await asyncio.sleep(0.01)
         taken_at = loop.time()
-        assert taken_at - gone_at > holding.RANK_DELAY_S
+        assert taken_at - gone_at > duty_election.RANK_DELAY_S
         since = gone_at if has_seen else taken_at
-        free_at = last.duty.tenure._free_at
-        assert free_at == pytest.approx(since + duty_world.TURN_S, abs=0.05)
+        may_act_at = last.duty.tenure._may_act_at
+        assert may_act_at == pytest.approx(
+            since + duty_simulation.TURN_S, abs=0.05
+        )
 
-    played(scenario)
+    simulate(scenario)
