--- a/packages/gateway/anvilwell_gateway/batches/__init__.py
+++ b/packages/gateway/anvilwell_gateway/batches/__init__.py
@@ -1,1 +1,1 @@
-"""Batches: accepted once, run, listed, read everywhere."""
+"""Batches: submission, execution, results and ownership at an entry."""
--- a/packages/gateway/anvilwell_gateway/batches/committing.py
+++ b/packages/gateway/anvilwell_gateway/batches/committing.py
@@ -1,4 +1,4 @@
-"""Lists the results of one batch, a write at a time."""
+"""Commits the results of one batch to the store, one write at a time."""
 
 import asyncio
 import contextlib
@@ -8,26 +8,26 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
-# Groups that are whole within this time share one write, unless they are all
-# that the trainer waits for. It reads each half second, so that of two groups
-# that end a step the second is seen that much later if the first one is
-# listed alone.
+# Groups that become complete within this time share one write. The delay ends
+# early once the trainer has all the groups that it waits for. A trainer polls
+# every half second: if the first of a step's last two groups were listed
+# alone, the trainer would read the second half a second later.
 GROUPING_DELAY_S = 0.25
 
 _LOG = logs.get_logger(__name__)
 
 
 class Committer:
-    """Writes whole groups to the store, and lists them once they are.
+    """Writes complete groups to the store and lists them afterwards.
 
     Parameters
     ----------
     batch_store : records.BatchStore
-        Where batches lie.
-    held : held.Held
+        Stores the results.
+    batch : owned_batch.OwnedBatch
         The batch.
-    on_taken : callable
-        Told ``(held, cause)`` if the batch is another process's now.
+    on_ownership_lost : callable
+        Called with ``(batch, cause)`` if another process owns the batch.
     """
 
     def __init__(self, batch_store, batch, on_ownership_lost):
@@ -36,7 +36,7 @@
         self._on_ownership_lost = on_ownership_lost
 
     async def run(self):
-        """Commit whatever is ready, until the batch is lost."""
+        """Commit results of complete groups until ownership is lost."""
         batch = self._batch
         loop = asyncio.get_running_loop()
         write_s = 0.0
@@ -45,7 +45,7 @@
             batch.has_new_results.clear()
             if not batch.state.listable_results():
                 continue
-            # What came during a long write has waited enough.
+            # Results that arrived during a long write have waited for it.
             await self._wait_for_more_groups(GROUPING_DELAY_S - write_s)
             results = sizes.fit_results(
                 batch.state.listable_results(), records.MAX_VALUE_BYTES
@@ -69,7 +69,7 @@
             batch.has_new_results.set()
 
     async def _wait_for_more_groups(self, wait_s):
-        """Wait for more groups while the trainer needs more than are whole."""
+        """Wait for more groups unless the trainer's last ones are complete."""
         batch = self._batch
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, wait_s)):
@@ -78,10 +78,10 @@
                     batch.has_new_results.clear()
 
     async def _append(self, results):
-        """Write one chunk; return whether the batch is still ours.
+        """Write one chunk; return False if another process owns the batch.
 
-        A write whose outcome is unknown may land late, so nothing else
-        is written under its number.
+        A write whose outcome is unknown may still take effect later, so it
+        is repeated and no other results are written under its chunk number.
         """
         batch = self._batch
         while True:
--- a/packages/gateway/anvilwell_gateway/batches/homes.py
+++ b/packages/gateway/anvilwell_gateway/batches/homes.py
@@ -1,19 +1,21 @@
-"""At which entries the batches of a service are gathered.
-
-Trainers submit each step to another entry. If each ran what it took, ten
-entries would fill one replica's slots from ten counts: what does not fit
-queues there, is taken for a stall and goes elsewhere, its prompt read in
-vain. One entry that runs all batches of a service counts them all, and
-finds its connections to the replicas open. A service whose batches are more
-than one entry can run has several homes, each for the batches of some of its
-models; `sharing` keeps their counts apart.
+"""Chooses the entries that run the batches of a service, its homes.
+
+Trainers may submit each step to a different entry. If each entry ran the
+batches that it received, ten entries would count the free slots of a replica
+independently and overfill it. Items beyond its slots queue at the replica,
+are mistaken for stalled ones and move to another replica, and their prompts
+have been processed in vain. A single entry that runs all batches of a service
+counts slots correctly and also has open connections to the replicas. A
+service with more items than one entry can run has several homes, each for
+the batches of some of its models; `slot_sharing` divides the slots among
+them.
 """
 
 from anvilwell_decisions.batches import slots as home_slots
 from anvilwell_decisions.duties import rendezvous
 
-# VMs differ by a factor of six in what they can process. Gathered batches
-# go to those with at least this share of the best one's capacity.
+# Only VMs with at least this share of the largest capacity become homes: the
+# processing capacity of VMs differs by a factor of six.
 MIN_CAPACITY_SHARE = 0.7
 
 
@@ -23,11 +25,11 @@
     Parameters
     ----------
     cluster_state : cluster_state.ClusterState
-        The entries that live, and what they can process.
+        The live entries and their capacities.
     directory : directory.Directory
         The replicas.
     owners : owners.Owners
-        The batches that there are.
+        The owners of the current batches.
     """
 
     def __init__(self, cluster_state, directory, owners):
@@ -36,25 +38,26 @@
         self._directory = directory
 
     def find(self, service, model):
-        """Return the VM that runs batches of a model, None if none."""
+        """Return the VM that runs a model's batches, None if there is none."""
         homes = self.all(service)
         if not homes:
             return None
         if len(homes) == 1:
             return homes[0]
         models = self._models(service)
-        # One by one: three models drawn for three homes would meet.
+        # Models are assigned to homes in turn. If each model hashed to a home
+        # on its own, three models could share one of three homes.
         number = models.index(model) if model in models else 0
         return homes[number % len(homes)]
 
     def all(self, service):
-        """Return the homes of a service, the first one first."""
+        """Return the homes of a service in order of their rank."""
         eligible = self._eligible_vms()
         ranked = rendezvous.rank_vms(f"run batches of {service}", eligible)
         return tuple(ranked[: self._count(service, eligible)])
 
     def _eligible_vms(self):
-        """Return the VMs that run batches, as live_by_vm."""
+        """Return the VMs that may become homes, as live_by_vm."""
         live_by_vm = self._cluster_state.live_by_vm
         best = max((one.capacity for one in live_by_vm.values()), default=0.0)
         return {
@@ -64,7 +67,7 @@
         }
 
     def _count(self, service, eligible):
-        carried = min(
+        items_per_home = min(
             (
                 home_slots.item_capacity(live.capacity, live.link_mbps)
                 for live in eligible.values()
@@ -72,17 +75,18 @@
             default=0.0,
         )
         items = self._expected_items(service)
-        if items <= carried:
+        if items <= items_per_home:
             return 1
         slots = sum(one.slots for one in self._replicas(service))
         return home_slots.homes_needed(
-            min(items, slots), carried, len(self._models(service))
+            min(items, slots), items_per_home, len(self._models(service))
         )
 
     def _expected_items(self, service):
-        """Return how many items the newest batches of all models have.
+        """Return the total items of each model's newest batch.
 
-        A trainer's steps are alike, so that changes little while it trains.
+        A trainer's steps are of similar size, so the total is stable during
+        a training run.
         """
         newest_by_model = {}
         for claim in self._owners.claims_by_id.values():
@@ -95,7 +99,7 @@
         return sum(owner.total for owner in newest_by_model.values())
 
     def _models(self, service):
-        """Return the models that a service's replicas have, sorted."""
+        """Return the sorted names of the models at a service's replicas."""
         names = {
             model
             for replica in self._replicas(service)
@@ -113,10 +117,10 @@
 
 
 def gathering_key(route):
-    """Return what a route's batches are gathered by: all its services."""
+    """Return the key that groups batches at homes: the route's services."""
     return ",".join(sorted(target.service for target in route.targets))
 
 
 def services_of_key(key):
-    """Return the services whose batches are gathered under one name."""
+    """Return the services named in a gathering key."""
     return key.split(",")
--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -1,4 +1,4 @@
-"""Takes batches from trainers, and takes them over from dead owners."""
+"""Accepts batches from trainers and takes batches over from dead owners."""
 
 import asyncio
 import collections
@@ -18,48 +18,51 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
 
-# How long a submission waits for a store that refuses its calls, in
-# seconds. Trainers were seen to try six times, with hardly a pause between;
-# their tries then span an outage of eight seconds.
+# How long a submission waits for a store that refuses its calls, in seconds.
+# Trainers have been observed to retry six times with hardly a pause between,
+# so that their attempts span an outage of eight seconds.
 REFUSED_TIMEOUT_S = 1.2
-# The same for a store that gives no answer; a little longer, so that what
-# can still be told for certain is.
+# The same for a store that does not answer. It is a little longer, so that an
+# outcome that becomes certain by then can still be reported.
 ACCEPT_TIMEOUT_S = 1.4
-# How long an acceptance of unknown outcome is looked after, in seconds:
-# longer than the store takes over late writes and its outages.
+# How long a write of unknown outcome is retried in the background, in seconds:
+# longer than late writes and outages of the store take.
 RESOLVE_TIMEOUT_S = 30.0
-# Candidates for a dead owner's batch try one after another.
+# Delay between the candidates for a dead owner's batch, in seconds: they try
+# to take it over one after another.
 RANK_DELAY_S = 0.4
-# A batch that is taken over opens after the older ones that are being taken
-# over here too, but waits no longer than this, in seconds. The one that is
-# opened first gets the places of a trainer's earlier step, which has more to
-# read from the store and ends sooner.
+# How long a batch that is taken over waits for older batches that are being
+# taken over here too, in seconds. The first one to open would get the slots
+# that a trainer's earlier step needs: that step ends sooner, but takes longer
+# to read from the store.
 OLDER_BATCH_WAIT_S = 0.3
 
 _LOG = logs.get_logger(__name__)
 
 
 class Intake:
-    """Accepts each batch once, whatever is lost on the way.
+    """Accepts each batch exactly once and takes over orphaned batches.
+
+    A batch is orphaned if the process that owns it is gone.
 
     Parameters
     ----------
     batch_store : records.BatchStore
-        Where batches lie.
-    holder : holder.Holder
-        What runs those that are ours.
+        Reads and writes batches.
+    manager : manager.BatchManager
+        Runs the batches that this process owns.
     presence : presence.Presence
-        This process.
+        The registration of this process in the store.
     cluster_state : cluster_state.ClusterState
-        The other processes.
+        The live entries and the ended batches.
     owners : owners.Owners
-        Who owns which batch.
+        The owners of all batches.
     dialect : dialect.Dialect
-        Reads submissions.
-    hander : handing.Hander
-        Hands on what another entry is to run.
+        Decodes submissions.
+    submission_forwarder : submission_forwarding.SubmissionForwarder
+        Forwards batches whose home is another entry.
     homes : all_homes.Homes
-        Where batches are gathered.
+        The homes of each service.
     """
 
     def __init__(
@@ -82,7 +85,7 @@
         self._submission_forwarder = submission_forwarder
         self._homes = homes
         self._pending_writes = set()
-        # How many submissions of each batch are under way.
+        # Number of submissions in progress, by batch id.
         self._accepting = collections.Counter()
         self._tasks = set()
         self._taking_over = set()
@@ -99,11 +102,12 @@
         Raises
         ------
         exceptions.BadRequest
-            If it is no batch.
+            If it is not a valid batch.
         exceptions.Conflict
-            If its id was used for another one.
+            If its id was used for a different batch.
         exceptions.KeyValueUnavailable
-            If it could not be made durable; ``NOT_RUN`` is a promise.
+            If it could not be stored; ``NOT_RUN`` guarantees that it was
+            not accepted.
         """
         submission = self._submission(request)
         outcome = submission_forwarding.ForwardOutcome.NOT
@@ -140,7 +144,8 @@
                 "this VM is stopping", reason=reasons.Refusal.DRAINING
             )
         if not self._presence.is_registered:
-            # Others would take the batch for a dead process's.
+            # Other entries would consider the owner dead and take the batch
+            # over.
             raise exceptions.Refused(
                 "this VM is not registered in the store",
                 reason=reasons.Refusal.KEY_VALUE_UNAVAILABLE,
@@ -162,18 +167,19 @@
         done, _ = await asyncio.wait((accepting,), timeout=ACCEPT_TIMEOUT_S)
         if not done:
             raise exceptions.KeyValueUnavailable(
-                "the store has not answered; the batch may be accepted",
+                "the store has not answered; the batch may have been accepted",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
         claim = accepting.result()
         _check_same(claim.owner, digest, submission)
 
     async def _write(self, route, submission, owner, stored_submission):
-        """Write the batch and open it, also after the caller has left.
+        """Store the batch and open it, even after the caller has left.
 
-        A write that was sent may land late. Then the batch is ours, and
-        nobody else would run it. What another call wrote may have results,
-        so it is not opened here, even if this process owns it.
+        A write may take effect after the caller's request has failed. This
+        process then owns the batch, and no other one would run it. A batch
+        that another submission stored may have results already, so it is not
+        opened here, even if this process owns it.
         """
         batch_id = submission.batch_id
         self._accepting[batch_id] += 1
@@ -187,7 +193,7 @@
             self._accepting[batch_id] -= 1
             if not self._accepting[batch_id]:
                 del self._accepting[batch_id]
-            # Its owner may have been lost meanwhile.
+            # The owner may have died while the write was in progress.
             self._check_ownership({batch_id})
         return claim
 
@@ -229,10 +235,11 @@
         )
 
     def _open(self, route, submission, claim, restored):
-        """Open a batch, unless it was taken over first; return whether.
+        """Open a batch unless another process has taken it over.
 
-        The change of its owner was told while nobody held it here, and is
-        not told again.
+        Returns whether it was opened. The check is needed because the change
+        of its owner was received before the batch was open here and will not
+        be received again.
         """
         batch_id = submission.batch_id
         if self._owners.is_superseded(batch_id, claim):
@@ -256,22 +263,22 @@
             self.check_all_owners()
 
     def is_ended(self, batch_id):
-        """Return whether the store is known to say that a batch ended."""
+        """Return whether the end of a batch was received from the store."""
         return batch_id in self._cluster_state.ended
 
     def start_takeovers(self):
-        """Take over from now on: routes, owners and lives are known."""
+        """Allow takeovers: routes, owners and live entries are loaded."""
         self._may_take_over = True
         self.check_all_owners()
 
     def check_all_owners(self):
-        """Look for batches whose owner is gone, in the background."""
+        """Check the owners of all batches and start takeovers."""
         self._check_ownership(set(self._owners.claims_by_id))
 
     def _check_ownership(self, batch_ids):
-        """Drop those of the batches that are another's, take orphans.
+        """Drop batches owned by other processes and take over orphans.
 
-        A batch whose owner isn't known yet is looked at once that is told.
+        A batch whose owner has not been received yet is checked on receipt.
         """
         if not self._may_take_over:
             return
@@ -294,7 +301,7 @@
         await self._manager.drop(batch, "another process owns it")
 
     def _may_be_orphan(self, batch_id):
-        """Return whether a batch's owner is gone, as far as is told."""
+        """Return whether the local copy of the owners shows an orphan."""
         claim = self._owners.claims_by_id.get(batch_id)
         return (
             claim is not None
@@ -305,7 +312,7 @@
         )
 
     async def _take_over(self, batch_id):
-        """Take a batch once it is our turn, unless its owner lives."""
+        """Take over a batch at this entry's turn, while it is orphaned."""
         try:
             owner = self._owners.claims_by_id[batch_id].owner
             rank = self._rank(
@@ -327,9 +334,10 @@
             self._taking_over.discard(batch_id)
 
     def _grace_s(self, owner):
-        """Return how long an owner that isn't registered is waited for.
+        """Return how long to wait for an owner that is not registered.
 
-        It has in memory what it could not write while the store was away.
+        It may hold texts in memory that it could not save during an outage
+        of the store.
         """
         if owner.vm_id == self._presence.vm_id:
             return 0.0
@@ -343,13 +351,14 @@
         ):
             return False
         if owner.vm_id == self._presence.vm_id:
-            # Also if it is this life's: a write that was given up may
-            # land late, and only this process can know of it.
+            # This includes batches of this incarnation: a write that was
+            # abandoned may take effect late, and no other process would take
+            # over a batch of a live owner.
             return batch_id not in self._manager.batches_by_id
         return incarnations_by_vm.get(owner.vm_id) != owner.incarnation
 
     def _rank(self, batch_id, owner, incarnations_by_vm):
-        """Return how many live processes should try before this one."""
+        """Return how many live entries should try before this one."""
         own_vm_id = self._presence.vm_id
         if owner.vm_id == own_vm_id:
             return 0
@@ -365,13 +374,14 @@
         return ranked.index(own_vm_id) + (owner.vm_id in others)
 
     async def _try_take_over(self, batch_id):
-        """Take a batch if its owner is gone; return if that is settled.
+        """Take over a batch if its owner is gone.
 
-        It is not if somebody else was quicker: while a batch is being taken
-        here, no loss of another owner has it taken.
+        Returns whether the takeover is finished. It is not if another
+        process took the batch first: while this one is trying, the loss of
+        that new owner would start no other takeover here.
         """
-        # In this order: whoever owned the batch at the first read and is
-        # not there at the second is gone.
+        # The order matters: an owner that is read first and missing from the
+        # live entries read afterwards is gone.
         claim = await self._store.owner(batch_id)
         incarnations_by_vm = await self._cluster_state.read_incarnations()
         if claim is None:
@@ -396,12 +406,12 @@
             opened.set_result(None)
 
     async def _restore(self, batch_id, claim):
-        """Open a batch of an earlier owner with what that left.
+        """Open a batch with the results and texts of its earlier owner.
 
         Returns
         -------
         bool
-            Whether there is no more to do.
+            Whether it was opened.
         """
         stored_submission = await self._store.submission(
             batch_id, claim.owner.parts
@@ -414,7 +424,7 @@
         route = await self._route(submission)
         if route is None:
             _LOG.log("batch-without-route", batch_id=batch_id)
-            # Whether a saved text would do, only its route could say.
+            # Saved texts can be reused only under the rules of their route.
             route, saved = _ended_route(submission), ()
         older = [
             opened
@@ -432,18 +442,19 @@
         )
 
     async def _route(self, submission):
-        """Return a batch's route, None if it has ended.
+        """Return a batch's route, None if it has been removed.
 
-        One that is not known here may be new.
+        A route that is missing here may be new, so the newest configuration
+        is loaded before it is considered removed.
         """
         location = submission.host, submission.path
         known = self._manager.routes().find(*location)
         return known or (await self._manager.newest_routes()).find(*location)
 
     async def stop(self):
-        """Take nothing over any more, once who waits has an answer.
+        """Stop takeovers after submissions in progress are answered.
 
-        No submission waits for longer than `ACCEPT_TIMEOUT_S`.
+        No submission waits longer than `ACCEPT_TIMEOUT_S`.
         """
         self.is_draining = True
         if self._pending_writes:
@@ -452,7 +463,7 @@
 
 
 def _ended_route(submission):
-    """Return a route on which the rest of a batch is given up at once."""
+    """Return a substitute route on which all items are abandoned at once."""
     return facts.Route(
         "", submission.host, submission.path, (), True, max_queue_s=0.0
     )
--- a/packages/gateway/anvilwell_gateway/batches/manager.py
+++ b/packages/gateway/anvilwell_gateway/batches/manager.py
@@ -1,4 +1,4 @@
-"""Owns batches: opens and ends them, and lets go of them."""
+"""Manages the batches that this process owns, from opening to release."""
 
 import asyncio
 
@@ -17,26 +17,29 @@
 
 
 class BatchManager:
-    """Keeps the batches that this process owns, and what runs for each.
+    """Opens, ends and releases the batches that this process owns.
+
+    It starts the tasks of each batch and shares the batches with the
+    schedulers of items and of scoring calls.
 
     Parameters
     ----------
     batch_store : records.BatchStore
-        Where batches lie.
+        Reads and writes batches.
     directory : directory.Directory
         The replicas.
     configuration : configuration.ConfigurationFollower
         The routes in force.
     runner : runners.Runner
-        What runs an item.
+        Runs items at replicas.
     forwarder : forwarding.Forwarder
-        The way of scoring calls.
+        Makes scoring calls.
     dialect : dialect.Dialect
-        How those are written.
+        Encodes scoring calls.
     crash_tracker : crash_tracker.CrashTracker
-        Which items end replicas.
-    sharing : sharing.Sharing
-        Knows which places are for this entry.
+        Tracks the items that crash replicas.
+    slot_sharing : slot_sharing.SlotSharing
+        Determines which slots this entry may use.
     """
 
     def __init__(
@@ -70,7 +73,7 @@
         )
 
     def gauge_values(self):
-        """Return how many batches and items this entry has."""
+        """Return the numbers of this entry's batches and items."""
         batches = self.batches_by_id.values()
         waiting = sum(len(batch.state.waiting_ids()) for batch in batches)
         running = sum(len(batch.runs_by_item) for batch in batches)
@@ -83,7 +86,7 @@
         ]
 
     def min_versions_by_model(self):
-        """Return the oldest version that the newest batch of a model takes."""
+        """Return the highest minimum version of each model's batches."""
         min_versions_by_model = {}
         for batch in self.batches_by_id.values():
             model = batch.submission.model
@@ -98,14 +101,14 @@
         return self._configuration.routes
 
     async def newest_routes(self):
-        """Return the routes that the store has now, in force from here on."""
+        """Load the newest configuration and return its routes."""
         await self._configuration.refresh()
         return self.routes()
 
     def open(self, batch):
-        """Begin to run a batch that is ours.
+        """Start to run a batch that this process owns.
 
-        A newer claim replaces an older one; an older one comes too late.
+        If the batch is open already, the newer of the two claims is kept.
         """
         known = self.batches_by_id.get(batch.batch_id)
         if known:
@@ -135,13 +138,13 @@
         self._scoring_scheduler.schedule()
 
     def retry_failed_saves(self):
-        """Save what could not be, as the store answers again."""
+        """Save texts whose save failed, now that the store answers again."""
         for batch in self.batches_by_id.values():
             if batch.has_unsaved_texts:
                 batch.save_requested.set()
 
     def end(self, batch_id):
-        """Stop a batch that its trainer has ended."""
+        """Stop the runs of a batch that its trainer has ended."""
         batch = self.batches_by_id.get(batch_id)
         if batch is None or batch.state.is_ended:
             return
@@ -162,10 +165,10 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _carry(self, batch):
-        """Keep what the batch left unfinished.
+        """Save the unfinished texts of an ended batch for the next one.
 
-        A trainer submits groups that were not whole again, and items of
-        them then need only what they lack.
+        Trainers submit incomplete groups again; their items then continue
+        from the saved texts.
         """
         saved = [one.save() for one in batch.reusable_texts()]
         if not saved:
@@ -182,9 +185,9 @@
             )
 
     def remove(self, batch):
-        """Answer for a batch no more; return whether it was answered for.
+        """Remove `batch` from the open batches; return whether it was there.
 
-        A newer claim of the batch stays.
+        The same batch under a newer claim is not removed.
         """
         if self.batches_by_id.get(batch.batch_id) is not batch:
             return False
@@ -192,20 +195,20 @@
         return True
 
     async def drop(self, batch, cause):
-        """Forget a batch that is another's now."""
+        """Stop and remove a batch that another process owns now."""
         if self.remove(batch):
             _LOG.log("batch-dropped", batch_id=batch.batch_id, cause=cause)
             await batch.stop(cause)
             self.on_lost()
 
     async def release(self):
-        """Stop all batches and keep their texts for the next owner."""
+        """Stop all batches and save their texts for the next owners."""
         batches = list(self.batches_by_id.values())
         self.batches_by_id.clear()
         await asyncio.gather(*(self._save(batch) for batch in batches))
 
     async def stop(self):
-        """Stop all that runs."""
+        """Stop all batches and both schedulers."""
         batches = list(self.batches_by_id.values())
         self.batches_by_id.clear()
         for batch in batches:
@@ -232,9 +235,9 @@
     def _abandon(self, batch):
         if self.batches_by_id.get(batch.batch_id) is batch:
             batch.state.abandon_rest()
-            batch.cancel_runs("the batch's time is over")
+            batch.cancel_runs("the batch reached its time limit")
             batch.has_new_results.set()
 
 
 def _ignore():
-    """Be told and do nothing."""
+    """Do nothing; the default of ``on_lost``."""
--- a/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
+++ b/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
@@ -1,27 +1,31 @@
-"""Which entries need to know what the engines of a service load."""
+"""Determines which entries receive agents' notices about a service.
+
+Agents send notices of the versions that their engines load.
+"""
 
 import asyncio
 
 from anvilwell_gateway.batches import homes as all_homes
 
-# Owners are looked at again after so long, in seconds: with hundreds of
-# agents, looks at each notice would cost more than the notices.
+# Interval at which the subscribers are computed again, in seconds. With
+# hundreds of agents, doing so at each notice would cost more than the notices
+# themselves.
 REFRESH_INTERVAL_S = 0.25
 
 
 class NoticeSubscribers:
-    """Finds the entries that run batches for a service, or will.
+    """Finds the entries that run batches of a service now or may next.
 
     Parameters
     ----------
     cluster_state : cluster_state.ClusterState
-        The entries that live.
+        The live entries.
     owners : owners.Owners
-        Who runs which batch.
+        The owners of all batches.
     configuration : configuration.ConfigurationFollower
-        Its routes say whose batches are gathered together.
+        Its routes determine which services share their homes.
     homes : all_homes.Homes
-        Where they are.
+        The homes of each service.
     """
 
     def __init__(self, cluster_state, owners, configuration, homes):
@@ -34,7 +38,7 @@
         self._vms_by_service = {}
 
     def find(self, service):
-        """Return the VMs that need notices of `service`; None is any."""
+        """Return the VMs that need notices of `service`, or of any if None."""
         now = self._clock()
         if now - self._refreshed_at >= REFRESH_INTERVAL_S:
             self._refreshed_at = now
@@ -44,7 +48,7 @@
         return sorted(self._vms_by_service.get(service, ()))
 
     def _find_subscribers(self):
-        """Return the VMs that need notices, as vms_by_service."""
+        """Return the homes and the live owners of batches, by service."""
         incarnations_by_vm = self._cluster_state.incarnations_by_vm
         current = self._configuration.current
         routes = current.routes if current else ()
--- a/packages/gateway/anvilwell_gateway/batches/owned_batch.py
+++ b/packages/gateway/anvilwell_gateway/batches/owned_batch.py
@@ -1,4 +1,4 @@
-"""One batch that this process owns."""
+"""The state of one batch that this process owns."""
 
 import asyncio
 import contextlib
@@ -9,18 +9,18 @@
 
 
 class OwnedBatch:
-    """A batch, its book and who waits for it.
+    """A batch, the state of its items, its tasks and its waiting readers.
 
     Parameters
     ----------
-    claimed : records.Claimed
-        Our ownership.
+    claim : records.Claim
+        The claim by which this process owns the batch.
     route : facts.Route
-        The route that it was accepted on.
+        The route on which it was accepted.
     submission : facts.Submission
-        What it asks for.
-    give_up_at : float
-        Event-loop time at which the rest is given up.
+        Its items and bounds.
+    abandon_at : float
+        Event-loop time at which its unfinished items are abandoned.
     """
 
     def __init__(self, claim, route, submission, abandon_at):
@@ -35,7 +35,7 @@
             submission, route.max_replicas, route.one_version
         )
         self.chunks = 0
-        # Sorts batches: the one submitted first goes first.
+        # Sort key of batches: the one that was submitted first runs first.
         self.sequence = (0.0, 0)
         self.service = ""
         self.tasks_by_item = {}
@@ -46,7 +46,7 @@
         self.saver = None
         self.has_new_results = asyncio.Event()
         self.save_requested = asyncio.Event()
-        # A save has failed or is under way.
+        # True while a save is in progress and after one has failed.
         self.has_unsaved_texts = False
         self._changed = asyncio.Event()
         self._is_stopped = False
@@ -55,20 +55,20 @@
 
     @property
     def batch_id(self):
-        """The batch's id."""
+        """The id of the batch."""
         return self.submission.batch_id
 
     @property
     def has_pending_write(self):
-        """Whether the store may list more than the book."""
+        """Whether the store may have results that ``state`` does not list."""
         return not self._no_write_pending.is_set()
 
     def begin_write(self):
-        """Note that results may land from now on."""
+        """Record that a write of results is in progress."""
         self._no_write_pending.clear()
 
     def mark_listed(self, results):
-        """List results that are committed, and wake who waits."""
+        """List results that are committed, and wake the waiting readers."""
         self.state.mark_listed(results)
         self._no_write_pending.set()
         self._wake()
@@ -78,9 +78,9 @@
         changed.set()
 
     async def wait_listed(self, position, wait_s):
-        """Wait until a result stands at `position`, at most `wait_s`.
+        """Wait at most `wait_s` for the result at `position`.
 
-        Ends sooner if the batch is held no more.
+        Returns early if this process stops running the batch.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
@@ -90,23 +90,24 @@
                     await self._changed.wait()
 
     def covers_position(self, position):
-        """Return whether the book tells what will ever be at `position`.
+        """Return whether the content of `position` is final.
 
-        Nothing comes behind the last one, so a whole book tells of all.
+        It is if a result is listed there, or if all results are listed, as
+        no result can follow the last one.
         """
         return len(self.state.listed) > min(position, self.state.total - 1)
 
     async def wait_for_pending_write(self, wait_s):
-        """Wait until no write is under way, at most `wait_s`."""
+        """Wait at most `wait_s` until no write of results is in progress."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
                 await self._no_write_pending.wait()
 
     def reusable_texts(self, min_events=1):
-        """Return the `Progress` of the unlisted texts that can be used on.
+        """Return the `Progress` of unlisted texts that can be used again.
 
-        They are whole ones, and those that may be resumed and have at
-        least so many events.
+        These are complete texts, and on routes that allow resuming also
+        incomplete ones of at least `min_events` events.
         """
         may_resume = self.route.is_resumable
         return [
@@ -117,7 +118,7 @@
         ]
 
     def cancel_runs(self, cause):
-        """Cancel all runs and scoring calls; `cause` goes to the log."""
+        """Cancel all runs and scoring calls; `cause` is logged."""
         for task in self._tasks():
             task.cancel(cause)
 
@@ -125,7 +126,7 @@
         return [*self.tasks_by_item.values(), *self.scorings_by_item.values()]
 
     async def stop(self, cause):
-        """Stop all that runs for the batch; `cause` says why in the log."""
+        """Stop all tasks of the batch; `cause` is logged as the reason."""
         self._is_stopped = True
         self._wake()
         await tasks.stop(
--- a/packages/gateway/anvilwell_gateway/batches/owner_client.py
+++ b/packages/gateway/anvilwell_gateway/batches/owner_client.py
@@ -1,12 +1,13 @@
-"""Passes reads of results, and ends, on to the entry that owns a batch.
+"""Forwards reads and ends of batches to the entries that own them.
 
-The owner has results in memory and sees each new one first. An entry that
-does not own the batch would read the store at each question. Of many bytes
-an owner in another failure domain only says how many results there are, and
-the store is read when there are more: bytes between domains are dear.
+The owner has the results in memory and lists each new one first; an entry
+that does not own the batch would otherwise read the store at each poll.
+Traffic between failure domains is expensive. An owner in another domain
+therefore sends only the number of results unless they are small, and the
+reader fetches them from the store if there are new ones.
 
-An owner learns of an end from the store as well, but that may take seconds
-if its watch has failed, and items would go on to engines until then.
+An owner also receives the end of a batch from the store. That may take
+seconds if its watch has failed, and items would be sent to engines until then.
 """
 
 import asyncio
@@ -23,8 +24,9 @@
 
 TARGET = "/results"
 END_TARGET = "/batches/ended"
-# What an answer takes beyond the wait that was asked for, in seconds. An
-# owner that needs longer is passed by: the store has what it listed.
+# Time allowed for a response beyond the wait that was requested, in seconds.
+# After that the results are read from the store, which has all that the owner
+# has listed.
 RESPONSE_MARGIN_S = 0.4
 MAX_RESPONSE_BYTES = 2 << 20
 
@@ -32,7 +34,11 @@
 
 
 class ResultsRequest(typing.NamedTuple):
-    """What is asked for: results of a batch from a position on."""
+    """A request for a batch's results from position ``after`` on.
+
+    ``wait_s`` is how long the owner may wait for a new result. If
+    ``with_results`` is false, it sends results only if they are small.
+    """
 
     batch_id: str
     after: int
@@ -41,10 +47,11 @@
 
 
 class ResultsPage(typing.NamedTuple):
-    """Results in the order of their positions.
+    """Results of a batch in the order of their positions.
 
-    ``listed`` of ``total`` positions are there; ``results`` are some from
-    the one on that was asked for, None if they were not asked for.
+    ``listed`` is the number of results that exist so far, of ``total`` in
+    the end. ``results`` holds some of them from the requested position on,
+    or None if only the number was sent.
     """
 
     total: int
@@ -58,40 +65,40 @@
 
 
 def read_results_request(body):
-    """Return the `Question` in a request's body.
+    """Decode the `ResultsRequest` in a request's body.
 
     Raises
     ------
     exceptions.BadRequest
-        If it holds none.
+        If it cannot be decoded.
     """
-    return peer_calls.decode(_RESULTS_REQUEST, body, "question for results")
+    return peer_calls.decode(_RESULTS_REQUEST, body, "request for results")
 
 
 def read_end(body):
-    """Return the id of the batch that a request's body says has ended.
+    """Decode the id of an ended batch in a request's body.
 
     Raises
     ------
     exceptions.BadRequest
-        If it holds none.
+        If it cannot be decoded.
     """
     return peer_calls.decode(_BATCH_ID, body, "id of a batch")
 
 
 class OwnerClient:
-    """Asks owners of batches for results, and tells them of ends.
+    """Reads results from the owners of batches and notifies them of ends.
 
     Parameters
     ----------
     owners : owners.Owners
-        Who owns which batch.
+        The owners of all batches.
     cluster_state : cluster_state.ClusterState
-        Which of them live, and where.
+        Which entries are live, and their addresses.
     vm_id : str
-        This VM; it is not asked what it does not run itself.
+        This VM. No requests are sent to it.
     failure_domain : str
-        Where it is.
+        The failure domain of this VM.
     """
 
     def __init__(self, owners, cluster_state, vm_id, failure_domain):
@@ -102,7 +109,7 @@
         self._pool = client.Pool(asyncio.get_running_loop().time, True)
 
     async def read(self, results_request):
-        """Return the owner's `Page`, or None if it gives none."""
+        """Return the owner's `ResultsPage`, or None if it sends none."""
         vm_id = self._live_remote_owner(results_request.batch_id)
         if vm_id is None:
             return None
@@ -132,7 +139,7 @@
         return None
 
     async def end(self, batch_id):
-        """Tell the owner of a batch, if it lives, that the batch ended."""
+        """Notify the live owner of a batch, if any, that the batch ended."""
         vm_id = self._live_remote_owner(batch_id)
         if vm_id is None:
             return
@@ -147,7 +154,7 @@
             )
 
     async def _send(self, vm_id, target, content, timeout_s):
-        """Return the body of a VM's answer."""
+        """Send a request to a VM and return the body of its response."""
         return await peer_calls.call(
             self._pool,
             vm_id,
@@ -158,14 +165,14 @@
         )
 
     def _live_remote_owner(self, batch_id):
-        """Return another VM that owns a batch and lives, or None."""
+        """Return the owner of a batch if it is another live VM, else None."""
         claim = self._owners.claims_by_id.get(batch_id)
         if claim is None or claim.owner.vm_id == self._vm_id:
             return None
-        vm_id, life = claim.owner.vm_id, claim.owner.incarnation
+        vm_id, incarnation = claim.owner.vm_id, claim.owner.incarnation
         return (
             vm_id
-            if self._cluster_state.incarnations_by_vm.get(vm_id) == life
+            if self._cluster_state.incarnations_by_vm.get(vm_id) == incarnation
             else None
         )
 
--- a/packages/gateway/anvilwell_gateway/batches/owners.py
+++ b/packages/gateway/anvilwell_gateway/batches/owners.py
@@ -1,4 +1,4 @@
-"""Who owns which batch, as the store tells it."""
+"""Follows the owners of all batches in the store."""
 
 import asyncio
 
@@ -11,16 +11,16 @@
 
 
 class Owners(prefix_follower.PrefixFollower):
-    """Follows the owners of all batches.
+    """A local copy of the owners of all batches.
 
-    It may be a second or two old. So it decides who is asked first and
-    when an owner may be gone; before a batch is taken over, the store
-    itself is read.
+    The copy may lag by a second or two. It is good enough to choose the
+    entry to ask first and to suspect that an owner is gone. Before a batch
+    is taken over, its owner is read from the store.
 
     Parameters
     ----------
     store : store.AsyncStore
-        Where the owners lie.
+        The key-value service.
     """
 
     def __init__(self, store):
@@ -30,16 +30,16 @@
         self.loaded_at = float("-inf")
 
     def listen(self, callback):
-        """Call ``callback(batch_ids)`` when these have an owner anew."""
+        """Call ``callback(batch_ids)`` when batches get a new owner."""
         self._listeners.append(callback)
 
     def is_superseded(self, batch_id, claim):
-        """Return whether a batch is known to have a newer claim."""
+        """Return whether a claim newer than `claim` has been received."""
         known = self.claims_by_id.get(batch_id)
         return known is not None and known.revision > claim.revision
 
     def load(self, entries_by_key):
-        """Take all owners that are there."""
+        """Replace the local copy by all owners in the store."""
         self.loaded_at = asyncio.get_running_loop().time()
         self.claims_by_id = {}
         for key, entry in entries_by_key.items():
@@ -47,7 +47,7 @@
         self._notify(set(self.claims_by_id))
 
     def change(self, change):
-        """Take one batch's owner."""
+        """Apply a change of one batch's owner."""
         batch_id = change.key.removeprefix(records.OWNER_PREFIX)
         self.claims_by_id.pop(batch_id, None)
         if change.value is not None:
--- a/packages/gateway/anvilwell_gateway/batches/reader.py
+++ b/packages/gateway/anvilwell_gateway/batches/reader.py
@@ -1,14 +1,17 @@
-"""Reads batches that another process owns, from the store."""
+"""Reads batches of other owners from the store and caches them."""
 
 import collections
 import typing
 
-# Batches whose listed results are kept here, the latest read first.
+# Batches that are cached; the least recently read one is evicted first.
 MAX_CACHED = 4
 
 
 class CachedBatch(typing.NamedTuple):
-    """What is known of a batch; none of it ever changes."""
+    """The part of a batch that was read so far; it never changes.
+
+    ``results`` come from the first ``chunks`` chunks.
+    """
 
     total: int
     results: list
@@ -17,16 +20,18 @@
 
 
 class Reader:
-    """Serves what is committed; positions are immutable, so they keep.
+    """Reads committed results and submissions of batches.
+
+    A committed result never changes, so it can be cached.
 
     Parameters
     ----------
     batch_store : records.BatchStore
-        Where batches lie.
+        Reads batches from the store.
     dialect : dialect.Dialect
-        Reads submissions.
+        Decodes submissions.
     owners : owners.Owners
-        What is known of the batches without a call.
+        The local copy of the owners of batches.
     """
 
     def __init__(self, batch_store, dialect, owners):
@@ -37,15 +42,16 @@
         self._items_by_batch = collections.OrderedDict()
 
     async def read(self, batch_id, after, listed=None):
-        """Return total and results from position `after` on, or None.
+        """Return the total and the results from position `after` on.
 
-        The store is asked only if fewer than ``listed`` are known here;
-        None if nobody has said how many there are.
+        Returns None if there is no such batch. ``listed`` is the number of
+        results that the owner has reported, None if it is unknown; the
+        store is read only if fewer are cached.
 
         Raises
         ------
         exceptions.KeyValueUnavailable
-            If the store can't be asked.
+            If the store cannot be read.
         """
         cached = self._cached_by_id.get(batch_id)
         if cached is None:
@@ -53,7 +59,8 @@
             if claim is None:
                 return None
             cached = CachedBatch(claim.owner.total, [], 0, claim.owner.parts)
-        # Also for an earlier position: a trainer goes on with what is new.
+        # This reads ahead if `after` is cached already: the trainer asks for
+        # the new results next.
         if len(cached.results) < (cached.total if listed is None else listed):
             more, chunks = await self._store.results(batch_id, cached.chunks)
             cached = cached._replace(
@@ -63,7 +70,7 @@
         return cached.total, cached.results[after:]
 
     def cached_count(self, batch_id):
-        """Return how many results of a batch have been read here."""
+        """Return how many results of a batch are cached."""
         cached = self._cached_by_id.get(batch_id)
         return len(cached.results) if cached else 0
 
@@ -91,10 +98,10 @@
         return await self._find_claim(batch_id) is not None
 
     async def _find_claim(self, batch_id):
-        """Return the `records.Claimed` of a batch, None if there is none.
+        """Return a `records.Claim` of a batch, None if there is none.
 
-        What was written with a batch never changes, so an old owner will
-        do. That there is none, only the store can say.
+        An outdated claim is good enough: the total and the parts of a batch
+        never change. Only the store can confirm that a batch does not exist.
         """
         known = self._owners.claims_by_id.get(batch_id)
         return known or await self._store.owner(batch_id)
--- a/packages/gateway/anvilwell_gateway/batches/records.py
+++ b/packages/gateway/anvilwell_gateway/batches/records.py
@@ -1,4 +1,4 @@
-"""Batches as they lie in the store."""
+"""Reads and writes the records of batches in the key-value service."""
 
 import itertools
 import typing
@@ -20,20 +20,25 @@
 RESULTS_PREFIX = "anvilwell/results/"
 SAVED_PREFIX = "anvilwell/saved/"
 CARRIED_PREFIX = "anvilwell/carried/"
-# A value may have 1 MB in the store; the rest is room for its coding.
+# The store accepts values of up to 1 MB; the difference leaves space for the
+# encoding.
 MAX_VALUE_BYTES = 700 << 10
-# Entries of one conditional write, less the owner's.
+# Most parts of a submission: they are written in one conditional write
+# together with the owner's key.
 MAX_PARTS = 30
-# Wait for a write whose answer was lost, in seconds.
+# How long to go on with a write whose response was lost, in seconds.
 COMMIT_TIMEOUT_S = 20.0
 
 
 class Owner(typing.NamedTuple):
-    """Who runs a batch; ``submitted_at`` is in seconds of wall time.
-
-    ``life`` names one run of the owner's process, "" once it let go.
-    ``digest`` tells a repeated submission from another one, ``service``
-    and ``model`` which batches are gathered at one entry.
+    """The process that runs a batch, and facts about the batch.
+
+    ``incarnation`` identifies one run of the owner's process; it is ""
+    once that process has released the batch. ``total`` is the number of
+    items, ``submitted_at`` is in seconds of wall time, and ``parts`` is the
+    number of values that the submission is split into. ``digest``
+    distinguishes a repeated submission from a different one with the same
+    id. ``service`` and ``model`` determine the home of the batch.
     """
 
     vm_id: str
@@ -47,9 +52,9 @@
 
 
 class StoredSubmission(typing.NamedTuple):
-    """A submission as it came, so that any VM decodes it the same way.
+    """A submission as received, so that any VM decodes it the same way.
 
-    Its headers hold no key: whoever reads the store learns none.
+    Its headers contain no API key, so reading the store discloses none.
     """
 
     target: str
@@ -73,33 +78,42 @@
 
 
 class Claim(typing.NamedTuple):
-    """An owner's entry and its revision, the guard of each commit."""
+    """A batch's owner as stored, and the revision of that value.
+
+    Each write of results is conditional on the revision.
+    """
 
     owner: Owner
     revision: int
 
 
 class UnreadableOwner(exceptions.AnvilwellError):
-    """An entry holds something else than it should."""
+    """Raised if a stored value cannot be decoded as an owner."""
 
 
 class OwnedElsewhere(exceptions.AnvilwellError):
-    """Another process owns the batch now."""
+    """Raised if another process owns the batch now."""
 
 
 class BatchStore:
-    """Reads and writes batches, one conditional write at a time."""
+    """Reads and writes batches in the store.
+
+    Parameters
+    ----------
+    store : store.AsyncStore
+        The key-value service.
+    """
 
     def __init__(self, store):
         self._store = store
 
     async def owner(self, batch_id):
-        """Return the `Claimed` of a batch, or None if there is none."""
+        """Return the `Claim` of a batch, or None if there is none."""
         entry = await self._store.get(f"{OWNER_PREFIX}{batch_id}")
         return entry and _claim_in(entry)
 
     async def owners(self):
-        """Return the `Claimed` of every batch as claimed_by_id."""
+        """Return the `Claim` of every batch, by batch id."""
         snapshot = await self._store.get_prefix(OWNER_PREFIX)
         return {
             key.removeprefix(OWNER_PREFIX): _claim_in(entry)
@@ -109,15 +123,16 @@
     async def accept(
         self, batch_id, owner, stored_submission, timeout_s, refusal_timeout_s
     ):
-        """Write a new batch whole; return the `Claimed` that is there.
+        """Write a new batch in one transaction; return its stored `Claim`.
 
-        It is another's if that was accepted before. The times are those
-        of `stores.swap_until_known`.
+        If the id was accepted before, that is the claim of the earlier
+        submission. The timeouts are those of `stores.swap_until_known`.
 
         Raises
         ------
         exceptions.KeyValueUnavailable
-            With ``NOT_RUN`` only if the write can never land.
+            If the outcome is unknown; with ``NOT_RUN`` only if the write
+            can no longer take effect.
         """
         value = _dump(stored_submission)
         parts = [
@@ -125,7 +140,7 @@
             for start in range(0, len(value), MAX_VALUE_BYTES)
         ]
         if len(parts) > MAX_PARTS:
-            raise exceptions.BadRequest("the batch is too large to keep")
+            raise exceptions.BadRequest("the batch is too large to store")
         owner = owner._replace(parts=len(parts))
         key = f"{OWNER_PREFIX}{batch_id}"
         swaps = [keyvalue.Swap(key, 0, _dump(owner))]
@@ -141,12 +156,12 @@
         return _claim_in(result.entries_by_key[key])
 
     async def take_over(self, batch_id, claim, owner):
-        """Take over a batch from a dead owner; return the `Claimed`.
+        """Replace a batch's dead owner by `owner`; return the new `Claim`.
 
         Raises
         ------
-        Taken
-            If somebody else was quicker.
+        OwnedElsewhere
+            If another process replaced the owner first.
         """
         key = f"{OWNER_PREFIX}{batch_id}"
         swap = keyvalue.Swap(key, claim.revision, _dump(owner))
@@ -158,20 +173,22 @@
         entry = result.entries_by_key.get(key)
         if entry is not None and _claim_in(entry).owner == owner:
             return Claim(owner, entry.revision)
-        raise OwnedElsewhere(f"batch {batch_id} was taken by another process")
+        raise OwnedElsewhere(f"batch {batch_id} is owned by another process")
 
     async def submission(self, batch_id, parts):
-        """Return the `Raw` submission of a batch."""
+        """Return the `StoredSubmission` of a batch."""
         found = [
             await self._store.get(_part_key(batch_id, number))
             for number in range(parts)
         ]
         if not all(found):
-            raise exceptions.NotFound(f"batch {batch_id} has no record")
+            raise exceptions.NotFound(
+                f"batch {batch_id} has no stored submission"
+            )
         return _load(_SUBMISSION, b"".join(entry.value for entry in found))
 
     async def results(self, batch_id, chunk=0):
-        """Return the results from chunk number `chunk` on, and the next.
+        """Return the results from chunk number `chunk` on.
 
         Returns
         -------
@@ -188,12 +205,12 @@
         return list(itertools.chain.from_iterable(chunks)), chunk + len(chunks)
 
     async def append(self, batch_id, claim, chunk, results):
-        """Write `results` as the next chunk, if the batch is still ours.
+        """Write `results` as chunk number `chunk` if the claim still holds.
 
         Raises
         ------
-        Taken
-            If it is not; nothing was written.
+        OwnedElsewhere
+            If another process owns the batch; nothing was written.
         """
         owner_key = f"{OWNER_PREFIX}{batch_id}"
         key = _chunk_key(batch_id, chunk)
@@ -211,42 +228,43 @@
         entry = written.entries_by_key.get(key)
         if entry is None or entry.value != value:
             raise OwnedElsewhere(
-                f"batch {batch_id} was taken by another process"
+                f"batch {batch_id} is owned by another process"
             )
 
     async def save(self, batch_id, saved):
-        """Keep the texts of unlisted items for the next owner."""
+        """Save the texts of unlisted items for the next owner."""
         value = _dump(_fit_saved(saved))
         await self._store.put(f"{SAVED_PREFIX}{batch_id}", value)
 
     async def saved(self, batch_id):
-        """Return what an earlier owner kept."""
+        """Return the texts that an earlier owner saved."""
         entry = await self._store.get(f"{SAVED_PREFIX}{batch_id}")
         return _load(_SAVED, entry.value) if entry else ()
 
     async def carry(self, route, organisation, saved):
-        """Keep an ended batch's texts for the next one of its kind.
+        """Save an ended batch's unfinished texts for the next batch.
 
-        That is the next on the route by the same organisation; another's
-        items may have the same ids.
+        That is the next batch on the route by the same organisation. Texts
+        are kept apart by organisation because items of two organisations
+        may have the same ids.
         """
         key = _carried_key(route, organisation)
         await self._store.put(key, _dump(_fit_saved(saved)))
 
     async def carried(self, route, organisation):
-        """Return what an organisation's last batch left unfinished."""
+        """Return the unfinished texts of an organisation's last batch."""
         entry = await self._store.get(_carried_key(route, organisation))
         return _load(_SAVED, entry.value) if entry else ()
 
     async def end(self, batch_id, timeout_s):
-        """Note for all processes that the trainer ended the batch."""
+        """Record for all processes that the trainer ended the batch."""
         key = f"{cluster_state.ENDED_PREFIX}{batch_id}"
         swap = keyvalue.Swap(key, 0, b"1")
-        # If it is there already, that is just as good.
+        # An earlier call may have written the key; that is fine, too.
         await stores.swap_until_known(self._store, [swap], timeout_s)
 
     async def remove(self, batch_id, parts, chunks):
-        """Delete all that is kept of a batch; its news goes last."""
+        """Delete all keys of a batch, the one that marks its end last."""
         keys = [
             f"{OWNER_PREFIX}{batch_id}",
             f"{SAVED_PREFIX}{batch_id}",
@@ -260,17 +278,17 @@
 
 
 def read_claim(value, revision):
-    """Return the `Claimed` in an owner's entry.
+    """Decode a stored owner; return it with its revision as a `Claim`.
 
     Raises
     ------
-    Unreadable
-        If there is none.
+    UnreadableOwner
+        If the value cannot be decoded.
     """
     try:
         return Claim(_load(_OWNER, value), revision)
     except (cbor2.CBORError, ValueError) as error:
-        raise UnreadableOwner(f"no owner: {error}") from error
+        raise UnreadableOwner(f"unreadable owner: {error}") from error
 
 
 def _claim_in(entry):
@@ -285,7 +303,7 @@
 
 
 def _fit_saved(saved):
-    """Return the longest texts that fit into one value together."""
+    """Return the longest texts that fit into one stored value."""
     found = []
     free_bytes = MAX_VALUE_BYTES
     for one in sorted(saved, key=lambda one: -len(one.events)):
--- a/packages/gateway/anvilwell_gateway/batches/request_handler.py
+++ b/packages/gateway/anvilwell_gateway/batches/request_handler.py
@@ -1,4 +1,4 @@
-"""Answers the calls on batches."""
+"""Handles requests about batches: submissions, reads and ends."""
 
 import asyncio
 
@@ -15,15 +15,18 @@
 from anvilwell_kernel import verdict as verdicts
 
 MAX_PAGE_BYTES = 900 << 10
-# What an owner passes on to an entry in another failure domain: below this
-# a call to the store is dearer than the bytes between domains.
+# Largest results that an owner sends to an entry in another failure domain, in
+# bytes. For fewer bytes, a read of the store would cost more than the traffic
+# between the domains.
 MAX_REMOTE_BYTES = 64 << 10
-# When a trainer may come back while the store gives no answer. Outages
-# last for seconds and trainers come back once, so not at once.
+# Retry-After of a response while the store does not answer, in seconds.
+# Outages last for seconds and trainers retry only once, so an immediate retry
+# would be wasted.
 STORE_RETRY_AFTER_S = 2.5
 END_TIMEOUT_S = 2.0
-# A write that takes longer may have landed without an answer; many times
-# the store's usual answer.
+# How long a read waits for a write of results in progress, in seconds: many
+# times the usual response time of the store. The response to a write that
+# takes longer may have been lost after it took effect.
 PENDING_WRITE_WAIT_S = 0.1
 
 _LOG = logs.get_logger(__name__)
@@ -31,27 +34,27 @@
 
 
 class BatchRequestHandler:
-    """Turns calls on batches into answers.
+    """Handles the requests of callers and of other entries about batches.
 
     Parameters
     ----------
     batch_store : records.BatchStore
-        Where batches lie.
-    holder : holder.Holder
+        Reads and writes batches.
+    manager : manager.BatchManager
         The batches of this process.
     intake : intake.Intake
-        What accepts new ones.
+        Accepts new batches.
     dialect : dialect.Dialect
-        Reads calls and writes pages.
+        Decodes requests and encodes pages of results.
     owners : owners.Owners
-        Who owns which batch.
-    passer : passing.Passer
-        Asks the owners of others' batches.
+        The owners of all batches.
+    owner_client : owner_client.OwnerClient
+        Sends requests to other owners of batches.
     budget : byte_budget.ByteBudget
-        What may be held for callers that read slowly.
+        Limits the bytes buffered for callers that read slowly.
     can_confirm_ownership : callable
-        Return whether the store answered so lately that no other process
-        can own what this one holds.
+        Returns whether the store answered recently enough that no other
+        process can own a batch of this one.
     """
 
     def __init__(
@@ -76,7 +79,7 @@
         self._reader = readers.Reader(batch_store, dialect, owners)
 
     async def submit(self, route, call, request, responder):
-        """Accept a batch; the answer comes once it is durable."""
+        """Accept a batch; respond once it is durable."""
         try:
             await self._intake.accept(route, request)
         except exceptions.AnvilwellError as error:
@@ -91,7 +94,7 @@
         await responder.send(202, (), b"")
 
     async def submit_forwarded(self, route, request, responder):
-        """Accept a batch that another entry was given; say what it may."""
+        """Accept a forwarded batch; respond with the status for the caller."""
         try:
             await self._intake.accept_here(route, request)
         except exceptions.AnvilwellError as error:
@@ -102,7 +105,7 @@
         await responder.send(202)
 
     async def handle(self, call, request_id, responder):
-        """Answer a `dialect.BatchCall`."""
+        """Handle a `dialect.BatchCall`: a read, an item's body or an end."""
         handlers_by_verb = {
             dialects.BatchVerb.READ: self._read,
             dialects.BatchVerb.BODY: self._body,
@@ -181,10 +184,10 @@
         await responder.send(200, (_JSON,), body)
 
     async def _local_page(self, results_request):
-        """Return the `passing.Page` of a batch of ours.
+        """Return the `ResultsPage` of a batch that this process owns.
 
-        None if it is not ours, or if only the store can say whether there
-        is a result.
+        Returns None if it does not own the batch, or if only the store can
+        confirm that there is no result at the position.
         """
         batch = self._manager.batches_by_id.get(results_request.batch_id)
         if batch is None:
@@ -207,7 +210,7 @@
         )
 
     def _is_authoritative(self, batch):
-        """Return whether nothing is listed but what the book has."""
+        """Return whether the store cannot have more results than `batch`."""
         if self._manager.batches_by_id.get(batch.batch_id) is not batch:
             return False
         if self._owners.is_superseded(batch.batch_id, batch.claim):
@@ -215,9 +218,10 @@
         return not batch.has_pending_write and self._can_confirm_ownership()
 
     async def _stored_page(self, results_request, reported):
-        """Return the `passing.Page` from the store, or None.
+        """Return the `ResultsPage` from the store, or None.
 
-        What the owner `told` saves the call if there is nothing new.
+        If the number of results that the owner `reported` shows that there
+        is nothing new, the store is not read.
         """
         known = self._reader.cached_count(results_request.batch_id)
         if reported and max(reported.listed, known) <= results_request.after:
@@ -235,11 +239,11 @@
         )
 
     async def read_for_peer(self, request, responder):
-        """Answer another entry's question for results of our batches."""
+        """Answer another entry's request for results of a local batch."""
         results_request = owner_clients.read_results_request(request.body)
         page = await self._local_page(results_request)
         if page is None:
-            raise exceptions.NotFound("only the store can tell")
+            raise exceptions.NotFound("only the store can confirm the results")
         results = None
         is_small = sizes.total_bytes(page.results) <= MAX_REMOTE_BYTES
         if results_request.with_results or is_small:
@@ -269,12 +273,13 @@
                 await self._not_found(call, responder)
                 return
             await self._store.end(call.batch_id, END_TIMEOUT_S)
-            # Sooner, the owner could not keep its texts if the store is away.
+            # The owner is notified after the write: during an outage of the
+            # store it could not save its texts.
             await self._owner_client.end(call.batch_id)
         await responder.send(200, (_JSON,), b"{}")
 
     async def end_for_peer(self, request, responder):
-        """End a batch of ours that was ended at another entry."""
+        """End a local batch whose end another entry received."""
         self._manager.end(owner_clients.read_end(request.body))
         await responder.send(200)
 
@@ -284,7 +289,10 @@
 
 
 def _status(error):
-    """Return the status that refuses a submission; 503 is a promise."""
+    """Return the status for a refused submission.
+
+    503 guarantees that the batch was not accepted; 504 leaves it open.
+    """
     if isinstance(error, exceptions.BadRequest | exceptions.Conflict):
         return error.status
     return 503 if error.verdict is verdicts.Verdict.NOT_RUN else 504
--- a/packages/gateway/anvilwell_gateway/batches/retention.py
+++ b/packages/gateway/anvilwell_gateway/batches/retention.py
@@ -1,4 +1,4 @@
-"""Deletes batches that nobody may ask for any more."""
+"""Deletes batches from the store once their retention time is over."""
 
 import asyncio
 
@@ -7,11 +7,12 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
-# Results stay readable for 120 s after the submission; the rest is for
-# clocks that differ and reads under way.
+# How long a batch that its trainer has ended is kept, in seconds. Results must
+# stay readable for 120 s after the submission; the rest allows for differing
+# clocks and reads in progress.
 ENDED_RETENTION_S = 180.0
-# The same for a batch of which all is listed and that nobody has ended: it
-# stays readable until then, unless its trainer is gone for good.
+# The same for a batch of which all results are listed but which has not been
+# ended. Its trainer may still read it, or may be gone for good.
 OPEN_RETENTION_S = 3600.0
 CHECK_INTERVAL_S = 20.0
 
@@ -19,21 +20,21 @@
 
 
 class Retention:
-    """Has each owner delete its settled batches after their time.
+    """Periodically deletes old batches of this process and orphaned ones.
 
-    What an owner that is gone leaves of an ended batch is nobody's: nobody
-    takes such a batch over. One entry that lives deletes it.
+    Each owner deletes its own finished batches. An ended batch whose owner is
+    gone is not taken over by anyone, so one of the live entries deletes it.
 
     Parameters
     ----------
     batch_store : records.BatchStore
-        Where batches lie.
-    holder : holder.Holder
+        Deletes batches from the store.
+    manager : manager.BatchManager
         The batches of this process.
     owners : owners.Owners
-        Who owns which batch.
+        The owners of all batches.
     cluster_state : cluster_state.ClusterState
-        Which owners live, and which batches have ended.
+        The live entries and the ended batches.
     vm_id : str
         This VM.
     """
@@ -44,16 +45,17 @@
         self.owners = owners
         self._cluster_state = cluster_state
         self._vm_id = vm_id
-        # When each was seen first. Clocks of the day differ between VMs.
+        # Event-loop time at which each orphaned batch was first seen: the wall
+        # clocks of VMs differ.
         self._orphaned_at_by_batch = {}
         self._task = None
 
     def start(self):
-        """Begin to look."""
+        """Start the periodic deletion."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self):
-        """Look no more."""
+        """Stop the periodic deletion."""
         await tasks.stop(self._task)
 
     async def _run(self):
@@ -62,7 +64,7 @@
             await self.remove_old(asyncio.get_running_loop().time())
 
     async def remove_old(self, now):
-        """Delete what was settled and opened long enough before `now`."""
+        """Delete finished and orphaned batches that are old enough."""
         old = [
             batch
             for batch in self._manager.batches_by_id.values()
@@ -78,7 +80,7 @@
         await self._remove_orphaned(now)
 
     async def _remove_orphaned(self, now):
-        """Delete what owners that are gone left `KEEP_S` before `now`."""
+        """Delete batches orphaned for at least `ENDED_RETENTION_S`."""
         self._orphaned_at_by_batch = {
             batch_id: self._orphaned_at_by_batch.get(batch_id, now)
             for batch_id in self._orphaned()
@@ -94,7 +96,7 @@
                 return
 
     def _is_deleted_here(self, batch_id):
-        """Return whether this entry deletes what is left of a batch."""
+        """Return whether this entry is the one that deletes an orphan."""
         duty = f"delete {batch_id}"
         return (
             rendezvous.choose_vm(duty, self._cluster_state.incarnations_by_vm)
@@ -102,7 +104,7 @@
         )
 
     def _orphaned(self):
-        """Return the ended batches whose owners are gone."""
+        """Return the ids of ended batches whose owners are gone."""
         incarnations_by_vm = self._cluster_state.incarnations_by_vm
         return [
             batch_id
@@ -114,7 +116,7 @@
         ]
 
     async def _remove(self, batch_id, owner, chunks=None):
-        """Delete a batch; return whether that was possible."""
+        """Delete a batch from the store; return whether it succeeded."""
         try:
             if chunks is None:
                 _, chunks = await self._store.results(batch_id)
--- a/packages/gateway/anvilwell_gateway/batches/runner.py
+++ b/packages/gateway/anvilwell_gateway/batches/runner.py
@@ -1,4 +1,4 @@
-"""Runs one item at one replica and collects its events."""
+"""Runs one item at one replica and collects the events of its text."""
 
 import asyncio
 import enum
@@ -13,7 +13,12 @@
 
 
 class RunEnd(enum.StrEnum):
-    """How a run ended."""
+    """How a run ended.
+
+    ``OTHER_REPLICA`` means that another replica answers at the address,
+    ``TOO_OLD`` that the version does not satisfy the bounds of the batch, and
+    ``IMPOSSIBLE`` that the replica rejected the item itself.
+    """
 
     WHOLE = "whole"
     REFUSED = "refused"
@@ -28,9 +33,11 @@
 
 
 class RunResult(typing.NamedTuple):
-    """A run's end; ``version`` is what the replica named, 0 if none.
+    """The result of a run.
 
-    ``is_cut`` tells that its connection ended without a whole answer.
+    ``version`` is the model version that the replica reported, 0 if it
+    reported none. ``is_cut`` is set if the connection was closed before the
+    response was complete.
     """
 
     end: RunEnd
@@ -40,7 +47,7 @@
 
 
 class RunRequest(typing.NamedTuple):
-    """What to run: an item, its text so far, and bounds."""
+    """An item to run, its text so far, and the bounds of its run."""
 
     item: typing.Any
     host: str
@@ -57,9 +64,9 @@
     Parameters
     ----------
     dialect : dialect.Dialect
-        How replicas are spoken to.
+        Encodes requests to replicas and decodes their responses.
     pool : client.Pool
-        Connections to them.
+        Connections to the replicas.
     """
 
     def __init__(self, dialect, pool):
@@ -67,7 +74,7 @@
         self._pool = pool
 
     def fingerprint(self, item, submission):
-        """Return what is the same each time a batch's item is sent."""
+        """Return a fingerprint that is equal for all attempts at an item."""
         request = messages.Request(
             "POST",
             item.target,
@@ -78,11 +85,11 @@
         return messages.fingerprint(request)
 
     async def run(self, run_request, replica, pace):
-        """Run `order` at `replica` and return how that `Ended`.
+        """Run an item at `replica` and return the `RunResult`.
 
-        The replica's ``pace`` (`paces.Pace`) is told the load that its head
-        states and the time between two events. The order's progress has
-        all whole events, whatever the end.
+        The load in the response's head and the gaps between events are
+        recorded in ``pace`` (`paces.Pace`). All complete events are added to
+        the progress in `run_request`, however the run ends.
         """
         try:
             connection = await self._pool.acquire(
@@ -137,7 +144,7 @@
         return reply, result
 
     async def _read(self, connection, run_request, reply, version, pace):
-        """Collect events until the stream ends."""
+        """Add events to the progress until the stream ends."""
         loop = asyncio.get_running_loop()
         buffered = b""
         last_at = None
@@ -186,10 +193,10 @@
 
 
 def _classify_response_head(reply, outcome, run_request):
-    """Return how the head ends the run, or None if it goes on."""
+    """Return the result if the head ends the run, else None."""
     if outcome.request_id not in ("", run_request.item.item_id):
         return RunResult(
-            RunEnd.BROKEN, cause="the answer is another request's"
+            RunEnd.BROKEN, cause="the response belongs to another request"
         )
     if outcome.is_other:
         return RunResult(RunEnd.OTHER_REPLICA, outcome.version)
--- a/packages/gateway/anvilwell_gateway/batches/saving.py
+++ b/packages/gateway/anvilwell_gateway/batches/saving.py
@@ -1,4 +1,4 @@
-"""Saves texts under way, so that an owner's death costs little."""
+"""Saves unfinished texts so that the next owner need not repeat them."""
 
 import asyncio
 import contextlib
@@ -6,25 +6,25 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
-# A new owner repeats at most so much of a text, plus what is too short, in
-# seconds. After a loss of all processes a long item has about a second to
-# spare.
+# Interval between saves, in seconds. A new owner repeats at most this much of
+# each text, and texts shorter than MIN_SAVED_EVENTS. After a loss of all
+# processes a long item has only about one second to spare.
 SAVE_INTERVAL_S = 0.7
-# Unfinished texts of fewer events are made again in less than half a
-# second; whole ones are kept whatever their length.
+# Unfinished texts of fewer events are not saved: they are generated again in
+# less than half a second. Complete texts are saved whatever their length.
 MIN_SAVED_EVENTS = 10
 
 _LOG = logs.get_logger(__name__)
 
 
 class Saver:
-    """Writes the longer unlisted texts of one batch now and then.
+    """Periodically saves the longer unlisted texts of one batch.
 
     Parameters
     ----------
     batch_store : records.BatchStore
-        Where batches lie.
-    held : held.Held
+        Stores the texts.
+    batch : owned_batch.OwnedBatch
         The batch.
     """
 
@@ -34,9 +34,9 @@
         self._saved_size = (0, 0)
 
     async def run(self):
-        """Save until nothing of the batch runs any more."""
+        """Save until no item of the batch has to run any more."""
         batch = self._batch
-        while not self._is_settled:
+        while not self._needs_no_runs:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(SAVE_INTERVAL_S):
                     await batch.save_requested.wait()
@@ -44,22 +44,22 @@
             await self._save()
 
     @property
-    def _is_settled(self):
+    def _needs_no_runs(self):
         return self._batch.state.needs_no_runs
 
     async def _save(self):
-        reusable_texts = self._batch.reusable_texts(MIN_SAVED_EVENTS)
+        texts = self._batch.reusable_texts(MIN_SAVED_EVENTS)
         size = (
-            sum(len(progress.events) for progress in reusable_texts),
-            sum(progress.score is not None for progress in reusable_texts),
+            sum(len(progress.events) for progress in texts),
+            sum(progress.score is not None for progress in texts),
         )
-        if self._is_settled or size == self._saved_size:
+        if self._needs_no_runs or size == self._saved_size:
             return
         self._batch.has_unsaved_texts = True
         try:
             await self._store.save(
                 self._batch.batch_id,
-                [progress.save() for progress in reusable_texts],
+                [progress.save() for progress in texts],
             )
         except exceptions.AnvilwellError as error:
             _LOG.log(
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -1,4 +1,4 @@
-"""Chooses replicas for the items of owned batches, and runs them."""
+"""Chooses replicas for the items of owned batches and runs them there."""
 
 import asyncio
 import collections
@@ -18,14 +18,15 @@
 from anvilwell_kernel.telemetry import counters
 from anvilwell_kernel.telemetry import logs
 
-# Look again at what waits and what runs after so long if nothing else
-# happens: a tenth of the shortest stall.
+# Longest time between two passes over waiting and running items, in seconds:
+# a tenth of the shortest stall.
 RETRY_S = 0.1
-# Notices of so many seconds share a look: with 223 agents there are
-# hundreds a second.
+# Notices that arrive within this time share a pass, in seconds. With 223
+# agents there are hundreds of notices per second.
 NOTICE_DELAY_S = 0.01
-# Looking takes at most so much of an entry's time: with thousands of items
-# one ends every few milliseconds, and the events of all others wait.
+# Largest share of an entry's time that passes may take. With thousands of
+# items a run ends every few milliseconds, and the events of all other runs
+# wait during a pass.
 MAX_TIME_SHARE = 0.2
 
 _RETRIES_BY_END = {
@@ -43,7 +44,7 @@
 
 
 class Scheduler:
-    """Starts, moves and ends runs of items.
+    """Starts, moves and stops runs of items.
 
     Parameters
     ----------
@@ -52,15 +53,16 @@
     configuration : configuration.ConfigurationFollower
         The routes in force.
     runner : runners.Runner
-        What runs an item.
-    held_by_id : dict
-        The batches that are owned now, kept by their `holder.Holder`.
-    on_text : callable
-        Told that a text is whole.
+        Runs items at replicas.
+    batches_by_id : dict
+        The batches that this process owns, updated by the
+        `manager.BatchManager`.
+    on_text_complete : callable
+        Called when a text is complete.
     crash_tracker : crash_tracker.CrashTracker
-        Which items end replicas.
-    sharing : sharings.Sharing
-        Knows which places are for this entry.
+        Tracks the items that crash replicas.
+    slot_sharing : slot_sharings.SlotSharing
+        Determines which slots this entry may use.
     """
 
     def __init__(
@@ -85,25 +87,26 @@
         slot_sharing.usage_of = self._slot_usage
         slot_sharing.on_change = self._limits_changed
         self._waiting_by_service = collections.Counter()
-        # When places were last dealt, in event-loop time.
+        # When the slot limits were last updated, in event-loop time.
         self._limits_refreshed_at = float("-inf")
-        # Services that batches held here have had items for.
+        # All services that items of owned batches have needed so far.
         self._services = set()
-        # Replicas that changed since they were all looked at.
+        # Replicas that changed since the last update.
         self._changed_ids = set()
         self._needs_full_update = True
-        # When the next look for an end may be, in event-loop time.
+        # Earliest time of the next pass after an ended run, in event-loop
+        # time.
         self._next_pass_at = float("-inf")
         self._timer = timers.Timer(self.schedule)
         directory.listen(self._replicas_changed)
         configuration.listen(self.schedule)
 
     def stop(self):
-        """Look no more for what can start."""
+        """Start no more runs."""
         self._timer.cancel()
 
     def _replicas_changed(self, changed):
-        """Look at once for what came or went, soon for a notice."""
+        """Schedule at once if replicas came or went, soon after a notice."""
         self._changed_ids |= changed.replica_ids
         if changed.is_membership:
             self.schedule()
@@ -111,7 +114,7 @@
             self._timer.schedule_within(NOTICE_DELAY_S)
 
     def schedule(self):
-        """Start whatever can start now."""
+        """Run a pass now: start and move whatever items can be."""
         self._timer.cancel()
         loop = asyncio.get_running_loop()
         started_at = loop.time()
@@ -122,7 +125,7 @@
             self._timer.schedule_in(RETRY_S)
 
     def _schedule_soon(self):
-        """Look once after what happens now, but not all the time."""
+        """Run a pass soon, limited to `MAX_TIME_SHARE` of the time."""
         wait_s = self._next_pass_at - asyncio.get_running_loop().time()
         if wait_s > 0:
             self._timer.schedule_within(wait_s)
@@ -130,22 +133,25 @@
             self._timer.schedule_soon()
 
     def _run_pass(self, now):
-        """Start what can start; return whether anything waits or runs.
+        """Start and move items; return whether any of them waits or runs.
 
-        With nothing to run there is nothing to look at.
+        Without items, the replicas are not examined at all.
         """
         waiting = sorted(
             work
             for batch in self._batches_by_id.values()
             for work in self._waiting_items(batch)
         )
-        has_runs = any(h.runs_by_item for h in self._batches_by_id.values())
+        has_runs = any(
+            batch.runs_by_item for batch in self._batches_by_id.values()
+        )
         if not waiting and not has_runs:
             self._needs_full_update = True
             self._changed_ids.clear()
             self._waiting_by_service.clear()
             return False
-        # What runs has waited before.
+        # The services of running items are included, as those items waited
+        # before.
         self._update_replicas({work.service for work in waiting})
         self._refresh_limits(now)
         self._move(now)
@@ -157,7 +163,7 @@
         return True
 
     def _refresh_limits(self, now):
-        """Take which places may be used, as homes and loans are now."""
+        """Update the slot limits from the current homes and loans."""
         if now - self._limits_refreshed_at < RETRY_S:
             return
         self._limits_refreshed_at = now
@@ -165,7 +171,7 @@
             self._dispatch.set_limits(self._slot_sharing.limit)
 
     def _slot_usage(self, service):
-        """Return the `sharings.Use` of a service's places."""
+        """Return the `slot_sharings.SlotUsage` of a service."""
         self._update_replicas({service})
         return slot_sharings.SlotUsage(
             self._waiting_by_service[service],
@@ -173,13 +179,13 @@
         )
 
     def _limits_changed(self):
-        """Start what may start now that other places may be used."""
+        """Apply changed slot limits; start items if any are waiting."""
         self._dispatch.set_limits(self._slot_sharing.limit)
         if self._waiting_by_service.total():
             self._schedule_soon()
 
     def _update_replicas(self, services):
-        """Take in the replicas that changed, all of another service."""
+        """Update changed replicas, or all of them if a service is new."""
         changed_ids, self._changed_ids = self._changed_ids, set()
         if self._needs_full_update or services - self._services:
             self._needs_full_update = False
@@ -198,7 +204,7 @@
             )
 
     def _move(self, now):
-        """Stop runs that should go on at a faster replica."""
+        """Stop the runs that should continue at another replica."""
         runs = [
             run._replace(
                 events=batch.state.progress_by_id[run.item_id].last_number
@@ -232,7 +238,7 @@
         return not batch.state.is_ended and batch.route.is_resumable
 
     def _tokens_by_service(self):
-        """Return what an engine of each service can hold, in tokens."""
+        """Return the memory of each service's engines, in tokens."""
         current = self._configuration.current
         services = current.services_by_name if current else {}
         return {
@@ -240,7 +246,7 @@
         }
 
     def _waiting_items(self, batch):
-        """Return a `WaitingItem` for each item of `held` that should run."""
+        """Return a `WaitingItem` for each item of `batch` that should run."""
         state = batch.state
         items = [
             state.items_by_id[item_id]
@@ -276,7 +282,7 @@
         ]
 
     def _is_held_back(self, batch, item_id):
-        """Return whether an item ends the replicas that run it."""
+        """Return whether an item is quarantined as it crashes replicas."""
         if self._crash_tracker.is_empty:
             return False
         fingerprint = self._fingerprint(batch, item_id)
@@ -295,7 +301,7 @@
         return bool(batch.state.progress_by_id[item.item_id].events)
 
     def _service(self, batch):
-        """Return the service that takes the batch's items now."""
+        """Return the service that runs the batch's items now."""
         route = self._configuration.routes.find(
             batch.submission.host, batch.submission.path
         )
@@ -308,7 +314,7 @@
         return batch.service
 
     def _start(self, work, now):
-        """Start one item if a replica takes it now; return whether."""
+        """Start one item if a replica is free; return whether it started."""
         replica_id = self._dispatch.choose_replica(work, now)
         if replica_id is None:
             return False
@@ -333,7 +339,8 @@
             self._move_history.count(work.batch_id, work.item_id),
         )
         task = asyncio.create_task(self._run(batch, work, worker))
-        # Not in the task: one that is cancelled early never runs at all.
+        # The slot is released by a callback, as a task that is cancelled
+        # before its first step never runs its own code.
         task.add_done_callback(
             functools.partial(self._release_slot, batch, work, worker)
         )
@@ -341,7 +348,7 @@
         return True
 
     def _release_slot(self, batch, work, worker, task):
-        """Free the slot and the item of a run that is over."""
+        """Release the slot and the item of a run that has ended."""
         worker.running -= 1
         if batch.tasks_by_item.get(work.item_id) is task:
             del batch.tasks_by_item[work.item_id]
@@ -406,7 +413,7 @@
         self._handle_result(batch, work, worker, result)
 
     def _handle_result(self, batch, work, worker, result):
-        """Take in how a run ended."""
+        """Update the batch and the replica after a run has ended."""
         now = asyncio.get_running_loop().time()
         if result.version:
             seen = facts.ModelVersion(work.model, result.version)
@@ -436,7 +443,7 @@
         batch.has_new_results.set()
 
     def _record_completion(self, batch, work, now):
-        """Take in how long a whole text is, and what its moves brought."""
+        """Record a complete text's length and the savings of its moves."""
         events = batch.state.progress_by_id[work.item_id].last_number
         self._dispatch.lengths.observe(work.kind, work.expected_tokens, events)
         savings = self._move_history.pop_savings(
@@ -458,6 +465,6 @@
 
     @staticmethod
     def _reset_text(batch, item_id):
-        """Forget a text that no replica can go on with."""
+        """Discard a text that no replica can continue."""
         if batch.route.one_version:
             batch.state.progress_by_id[item_id].restart()
--- a/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
@@ -1,4 +1,4 @@
-"""Gets the scores of texts that are whole."""
+"""Requests the scores of complete texts."""
 
 import asyncio
 import collections
@@ -13,31 +13,32 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
 
-# Look again after so long while texts wait for a score, in seconds: the
-# pause after a refusal, or a route that is not there now.
+# Interval between passes while texts wait for a scoring call, in seconds. They
+# wait for the pause after a refusal or for a missing route.
 RETRY_S = 0.1
 
 _LOG = logs.get_logger(__name__)
 
 
 class ScoringScheduler:
-    """Makes the scoring calls of the batches that are owned here.
+    """Makes the scoring calls of the batches that this process owns.
 
-    A call begins once the last event of its text has come, takes the way
-    of live calls, and is repeated under its id until it brings a score.
+    A call starts once the last event of its text has arrived. It is forwarded
+    like a live call and repeated under the same id until it returns a score.
 
     Parameters
     ----------
     forwarder : forwarding.Forwarder
-        The way to plain services.
+        Forwards the calls to plain services.
     directory : directory.Directory
-        Says how many slots a service has.
+        The replicas, with the slots of each service.
     configuration : configuration.ConfigurationFollower
         The routes in force.
     dialect : dialect.Dialect
-        Writes the calls and reads the seals.
-    held_by_id : dict
-        The batches that are owned now, kept by their `holder.Holder`.
+        Encodes the calls and decodes the seals.
+    batches_by_id : dict
+        The batches that this process owns, updated by the
+        `manager.BatchManager`.
     """
 
     def __init__(
@@ -77,14 +78,14 @@
             self._timer.schedule_in(RETRY_S)
 
     def _slots_by_service(self):
-        """Return how many calls all replicas of a service run at once."""
+        """Return the total slots of each service's replicas."""
         slots_by_service = collections.Counter()
         for replica in self._directory.usable():
             slots_by_service[replica.service] += replica.slots
         return slots_by_service
 
     def _start(self, batch, item_id, slots_by_service, now):
-        """Start the call of one item; return whether it was possible."""
+        """Start the call of one item; return whether it was started."""
         progress = batch.state.progress_by_id[item_id]
         if now < progress.scoring_not_before:
             return False
@@ -101,14 +102,15 @@
             self._score(batch, item_id, scoring_call, route, limiter)
         )
         batch.scorings_by_item[item_id] = task
-        # Not in the task: one that is cancelled early never runs at all.
+        # The slot is released by a callback, as a task that is cancelled
+        # before its first step never runs its own code.
         task.add_done_callback(
             functools.partial(self._release_slot, batch, item_id, limiter)
         )
         return True
 
     def _route(self, scoring_call):
-        """Return the route of a call, as one that may be repeated."""
+        """Return the route of a call, marked as idempotent."""
         path = scoring_call.target.partition("?")[0]
         route = self._configuration.routes.find(scoring_call.host, path)
         if route is None or route.is_batch or route.is_stream:
@@ -135,7 +137,7 @@
         self._timer.schedule_soon()
 
     def _delay_next_call(self, batch, item_id):
-        """Let an item wait before its next call."""
+        """Set the time of an item's next call, with a growing pause."""
         progress = batch.state.progress_by_id[item_id]
         progress.scoring_rounds += 1
         pause_s = scoring.retry_delay_s(progress.scoring_rounds)
@@ -143,7 +145,7 @@
         progress.scoring_not_before = now + pause_s
 
     async def _score(self, batch, item_id, scoring_call, route, limiter):
-        """Make one round of attempts at the score of one item."""
+        """Make one round of attempts to score one item."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         limit_s = limiter.limit_s(route)
@@ -154,8 +156,10 @@
             limiter.record_score(took_s)
             batch.state.mark_scored(item_id, seal)
         else:
-            most = max(route.max_replicas, batch.route.max_replicas)
-            batch.state.mark_not_scored(item_id, attempt.failures, most)
+            max_failures = max(route.max_replicas, batch.route.max_replicas)
+            batch.state.mark_not_scored(
+                item_id, attempt.failures, max_failures
+            )
             self._delay_next_call(batch, item_id)
         end = "scored" if seal else "failed"
         measures.record(measures.SCORINGS, took_s, end=end)
@@ -175,7 +179,7 @@
         )
 
     def _attempts(self, batch, scoring_call, route, limit_s):
-        """Return the `attempts.Attempts` at one scoring call."""
+        """Return the `attempts.Attempts` for one scoring call."""
         request = messages.Request(
             "POST",
             scoring_call.target,
@@ -188,7 +192,7 @@
         return self._forwarder.attempts(route, call, request)
 
     async def _seal(self, attempt, limiter):
-        """Return the seal that `attempt` brings, "" with why there is none."""
+        """Return the seal and ""; without a seal, "" and the cause."""
         try:
             answer = await attempt.run()
         except exceptions.AnvilwellError as error:
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -1,4 +1,4 @@
-"""The batches of an entry: taken in, run, read, and handed over."""
+"""Assembles the parts that handle the batches of one entry."""
 
 import asyncio
 
@@ -17,25 +17,25 @@
 from anvilwell_gateway import notices
 from anvilwell_kernel import exceptions
 
-# Poll of what must be known before batches are taken over, in seconds.
+# Interval at which start-up polls whether takeovers may begin, in seconds.
 POLL_S = 0.02
 
 
 class Batches:
-    """Puts the parts together that batches need.
+    """All parts of an entry that handle batches.
 
     Parameters
     ----------
     platform : platforms.Platform
         The adapter to the platform.
     fleet : fleet.Fleet
-        What is known.
+        The local copies of the store's data.
     live_calls : live_calls.LiveCalls
-        The way of scoring calls, and which items end replicas.
+        Forwards scoring calls and tracks the items that crash replicas.
     pool : client.Pool
         Connections to replicas.
     budget : byte_budget.ByteBudget
-        What may be held for callers.
+        Limits the bytes buffered for callers.
     """
 
     def __init__(self, platform, fleet, live_calls, pool, budget):
@@ -109,7 +109,7 @@
     def from_config(
         cls, platform, fleet, live_calls, pool, peer_server, budget
     ):
-        """Return an entry's batches; peers ask for them by `peer_server`."""
+        """Build an entry's batches and register their peer requests."""
         batches = cls(platform, fleet, live_calls, pool, budget)
         peer_server.handle(
             submission_forwarding.TARGET, batches.accept_forwarded
@@ -127,12 +127,15 @@
         return batches
 
     def start(self):
-        """Begin to keep what is needed, and to take over."""
+        """Start the deletion of old batches and, once possible, takeovers."""
         self.retention.start()
         self._start_task = asyncio.create_task(self._start_takeovers())
 
     async def _start_takeovers(self):
-        """Take back what an earlier life of this VM owned."""
+        """Start takeovers once owners, live entries and routes are loaded.
+
+        The first ones are batches of this VM's earlier incarnation.
+        """
         while not (
             self._fleet.cluster_state.is_loaded
             and self._owners.is_loaded
@@ -142,16 +145,16 @@
         self._intake.start_takeovers()
 
     def refuse_new(self):
-        """Take no new batches: this VM is stopping."""
+        """Refuse new batches because this VM is stopping."""
         self._intake.is_draining = True
 
     async def release(self):
-        """Leave all batches to other entries."""
+        """Release all batches so that other entries take them over."""
         await self._intake.stop()
         await self.manager.release()
 
     async def stop(self):
-        """Stop everything."""
+        """Stop all tasks and close the connections."""
         if self._start_task:
             self._start_task.cancel()
         await self.retention.stop()
@@ -162,21 +165,22 @@
         self.slot_sharing.close()
 
     async def accept_forwarded(self, request, responder):
-        """Accept a batch that another entry was given."""
+        """Accept a batch that another entry has forwarded."""
         submission_request = submission_forwarding.read_request(request.body)
         route = self._fleet.configuration.routes.find(
             submission_request.host, submission_request.path
         )
         if route is None or not route.is_batch:
-            raise exceptions.Refused("the route is not known here")
+            raise exceptions.Refused("this entry has no such batch route")
         await self.request_handler.submit_forwarded(
             route, submission_request, responder
         )
 
     def _can_confirm_ownership(self):
-        """Return whether no other process can own what this one holds.
+        """Return whether no other process can own a batch of this one.
 
-        Under a lease that has lapsed others could take it over.
+        While this process's lease was lapsed, others may have taken its
+        batches over, so the owners must have been loaded since then.
         """
         presence = self._fleet.presence
         has_current_owners = self._owners.loaded_at > presence.lapsed_at
--- a/packages/gateway/anvilwell_gateway/batches/sizes.py
+++ b/packages/gateway/anvilwell_gateway/batches/sizes.py
@@ -1,11 +1,15 @@
-"""How many results fit into one value or page."""
+"""Limits results to what fits into one stored value or one page."""
 
-# Id, state, versions and coding of a result beside its text, in bytes.
+# Size of a result without its text, in bytes: its id, state, versions and
+# encoding.
 RESULT_OVERHEAD_BYTES = 200
 
 
 def fit_results(results, max_bytes):
-    """Return the first of `results` that fit; at least one if any."""
+    """Return the first of `results` that fit into `max_bytes`.
+
+    The first result is returned whatever its size.
+    """
     total_bytes = 0
     for number, result in enumerate(results):
         total_bytes += len(result.text) + RESULT_OVERHEAD_BYTES
@@ -15,5 +19,5 @@
 
 
 def total_bytes(results):
-    """Return how much room `results` take, in bytes."""
+    """Return the approximate size of `results`, in bytes."""
     return sum(len(result.text) + RESULT_OVERHEAD_BYTES for result in results)
--- a/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
@@ -1,4 +1,4 @@
-"""Shares a service's places with its other homes."""
+"""Lends and borrows slots of a service's replicas among its homes."""
 
 import asyncio
 import typing
@@ -14,10 +14,10 @@
 from anvilwell_kernel.telemetry import logs
 
 TARGET = "/places"
-# Between two questions to one lender, in seconds: an item waits so long for
-# a place that is free elsewhere.
+# Interval between two requests to one lender, in seconds. An item waits up to
+# this long for a slot that is free at another home.
 REQUEST_INTERVAL_S = 0.2
-# A lender answers from memory. One that needs longer keeps its places.
+# A lender answers from memory. If it takes longer, nothing is borrowed.
 CALL_LIMITS = peer_calls.CallLimits(timeout_s=0.3, max_bytes=1 << 20)
 
 _SLOT_REQUEST = pydantic.TypeAdapter(home_slots.SlotRequest)
@@ -27,9 +27,9 @@
 
 
 class SlotUsage(typing.NamedTuple):
-    """What this entry does at the replicas of one service.
+    """Use of one service's replicas by the items of this entry.
 
-    ``waiting`` counts its items that find no place.
+    ``waiting`` is the number of items for which no slot is free.
     """
 
     waiting: int
@@ -37,16 +37,16 @@
 
 
 class SlotSharing:
-    """Knows which places this entry may use, lends and borrows some.
+    """Determines which slots this entry may use; lends and borrows slots.
 
     Parameters
     ----------
     vm_id : str
         This VM.
     cluster_state : cluster_state.ClusterState
-        Where the other entries are.
+        The addresses of the other entries.
     homes : homes.Homes
-        Which of them are homes of a service.
+        The homes of each service.
     """
 
     def __init__(self, vm_id, cluster_state, homes):
@@ -57,17 +57,18 @@
         self._requested_at_by_key = {}
         self._tasks = set()
         self._pool = client.Pool(asyncio.get_running_loop().time, True)
-        # Returns the `Use` of a service; told that limits have changed.
+        # Callbacks set by the scheduler: the first returns the `SlotUsage` of
+        # a service, the second is called when limits have changed.
         self.usage_of = None
         self.on_change = None
 
     def update_homes(self, services):
-        """Take in which homes these services have now.
+        """Update the homes of these services.
 
         Returns
         -------
         bool
-            Whether any of them has several, or had until now.
+            Whether any of them has several homes or had until now.
         """
         before = any(map(self.is_split, services))
         for service in services:
@@ -78,7 +79,7 @@
         return before or any(map(self.is_split, services))
 
     def limit(self, replica):
-        """Return how many places of a replica may be used, None for all."""
+        """Return how many slots of a replica may be used, None for all."""
         service_slots = self._slots_by_service.get(replica.service)
         if service_slots is None or not service_slots.lenders:
             return None
@@ -91,7 +92,7 @@
         return service_slots is not None and bool(service_slots.lenders)
 
     def request_slots(self, service):
-        """Ask the other homes for places, and name what is used."""
+        """Request slots from the other homes and report those in use."""
         if not self.is_split(service):
             return
         now = asyncio.get_running_loop().time()
@@ -149,9 +150,9 @@
         self.on_change()
 
     async def handle_request(self, request, responder):
-        """Lend places to another home."""
+        """Lend slots to another home."""
         slot_request = peer_calls.decode(
-            _SLOT_REQUEST, request.body, "question for places"
+            _SLOT_REQUEST, request.body, "request for slots"
         )
         self.update_homes([slot_request.service])
         service_slots = self._slots_by_service[slot_request.service]
@@ -181,7 +182,7 @@
         await responder.send(200, (), cbor2.dumps(counts_by_replica))
 
     def gauge_values(self):
-        """Return how many places are lent and borrowed, of split services."""
+        """Return how many slots are lent and borrowed, if any is split."""
         now = asyncio.get_running_loop().time()
         split = [one for one in self._slots_by_service.values() if one.lenders]
         if not split:
@@ -196,7 +197,7 @@
         ]
 
     def close(self):
-        """Ask no more."""
+        """Cancel requests in progress and close the connections."""
         for task in self._tasks:
             task.cancel()
         self._pool.close()
--- a/packages/gateway/anvilwell_gateway/batches/submission_forwarding.py
+++ b/packages/gateway/anvilwell_gateway/batches/submission_forwarding.py
@@ -1,4 +1,4 @@
-"""Hands a submission on to the entry where such batches are gathered."""
+"""Forwards submissions to the home entry of their service and model."""
 
 import asyncio
 import enum
@@ -15,8 +15,9 @@
 from anvilwell_kernel import verdict as verdicts
 
 TARGET = "/batches"
-# An entry answers within 20 ms where the store does in 4 ms. One that takes
-# longer is passed by while the trainer's target, half a second, can be met.
+# How long to wait for the home's response, in seconds. With a store that
+# answers in 4 ms, an entry answers within 20 ms. After the timeout, this entry
+# can still accept the batch within the trainer's target of half a second.
 TIMEOUT_S = 0.4
 MAX_RESPONSE_BYTES = 64 << 10
 _ACCEPTED = 202
@@ -26,16 +27,16 @@
 
 
 class ForwardOutcome(enum.StrEnum):
-    """What became of a submission that was handed on."""
+    """The outcome of forwarding a submission."""
 
     ACCEPTED = "accepted"
-    # It is not there and never will be, or nobody was asked.
+    # The other entry has not accepted it and never will, or it was not sent.
     NOT = "not"
     UNKNOWN = "unknown"
 
 
 class ForwardedSubmission(typing.NamedTuple):
-    """A submission as it came, without the caller's key."""
+    """A submission as received, without the caller's API key."""
 
     target: str
     headers: tuple[tuple[str, str], ...]
@@ -47,12 +48,12 @@
 
 
 def read_request(body):
-    """Return the `messages.Request` that was handed on.
+    """Decode the forwarded `messages.Request`.
 
     Raises
     ------
     exceptions.BadRequest
-        If there is none.
+        If it cannot be decoded.
     """
     submission = peer_calls.decode(_FORWARDED_SUBMISSION, body, "submission")
     now = asyncio.get_running_loop().time()
@@ -67,16 +68,16 @@
 
 
 class SubmissionForwarder:
-    """Hands submissions on.
+    """Forwards submissions to their homes.
 
     Parameters
     ----------
     vm_id : str
         This VM.
     cluster_state : cluster_state.ClusterState
-        The entries that live, and where.
+        The live entries and their addresses.
     homes : all_homes.Homes
-        Which of them run what.
+        The homes of each service.
     """
 
     def __init__(self, vm_id, cluster_state, homes):
@@ -86,12 +87,12 @@
         self._pool = client.Pool(asyncio.get_running_loop().time, True)
 
     async def forward(self, route, model, request):
-        """Hand `request` on, if another entry is to run the model's batch.
+        """Forward `request` if the home of the batch is another entry.
 
         Returns
         -------
-        Handed
-            What became of it.
+        ForwardOutcome
+            Whether the home accepted it.
         """
         home = self._homes.find(all_homes.gathering_key(route), model)
         if home in (None, self._vm_id):
@@ -103,10 +104,10 @@
             request.body,
             request.organisation,
         )
-        question = peer_calls.build_request(TARGET, address, submission)
+        peer_request = peer_calls.build_request(TARGET, address, submission)
         try:
             reply, _ = await self._pool.call(
-                home, address, question, TIMEOUT_S, MAX_RESPONSE_BYTES
+                home, address, peer_request, TIMEOUT_S, MAX_RESPONSE_BYTES
             )
         except exceptions.BackendFailed as error:
             not_run = error.verdict is verdicts.Verdict.NOT_RUN
@@ -127,8 +128,8 @@
 def _classify(status):
     if status == _ACCEPTED:
         return ForwardOutcome.ACCEPTED
-    # A refusal is a promise; a fault of the submission itself is found
-    # again here.
+    # A 503 guarantees that the batch was not accepted. After a 4xx this entry
+    # finds the same fault in the submission and responds with it.
     if status == _REFUSED or 400 <= status < 500:
         return ForwardOutcome.NOT
     return ForwardOutcome.UNKNOWN
--- a/packages/gateway/tests/batches/test_committing.py
+++ b/packages/gateway/tests/batches/test_committing.py
@@ -1,4 +1,4 @@
-"""Which groups are listed together."""
+"""Tests which complete groups share one write of results."""
 
 import asyncio
 import types
@@ -12,7 +12,7 @@
 
 
 class _Store:
-    """Notes when each chunk was written, and how many results it had."""
+    """Records the time and the number of results of each written chunk."""
 
     def __init__(self):
         self.chunks = []
@@ -22,8 +22,11 @@
         self.chunks.append((round(now, 3), len(results)))
 
 
-def _commit(run_virtual, whole_at):
-    """Return the chunks of groups of one item, whole at these times."""
+def _commit(run_virtual, complete_at):
+    """Return the chunks written for groups that complete at these times.
+
+    Each group has one item.
+    """
     items = tuple(
         facts.Item(f"i{n}", "/", (), b"", f"g{n}") for n in range(GROUPS)
     )
@@ -45,7 +48,7 @@
         committer = committing.Committer(store, batch, None)
         task = asyncio.create_task(committer.run())
         began_at = 0.0
-        for number, at in enumerate(whole_at):
+        for number, at in enumerate(complete_at):
             await asyncio.sleep(at - began_at)
             began_at = at
             state.mark_running(f"i{number}")
@@ -58,23 +61,24 @@
     return store.chunks
 
 
-def test_groups_that_are_whole_soon_after_another_share_a_write(run_virtual):
+def test_groups_that_complete_in_quick_succession_share_a_write(run_virtual):
     chunks = _commit(run_virtual, [1.0, 1.1])
 
     assert chunks == [(1.0 + committing.GROUPING_DELAY_S, 2)]
 
 
 def test_the_last_group_that_the_trainer_needs_ends_the_wait(run_virtual):
-    """A group was listed alone 50 ms before the one that ended its step.
+    """Guards against listing a group alone 50 ms before the last one.
 
-    The trainer read it, and then the last one half a second later.
+    The trainer would read that group and, polling every half a second, get
+    the one that completes its step half a second later.
     """
     chunks = _commit(run_virtual, [1.0, 2.0, 2.05])
 
     assert chunks == [(1.0 + committing.GROUPING_DELAY_S, 1), (2.05, 2)]
 
 
-def test_what_comes_after_that_is_listed_at_once(run_virtual):
+def test_groups_after_the_last_needed_one_are_listed_at_once(run_virtual):
     chunks = _commit(run_virtual, [1.0, 1.0, 1.0, 3.0])
 
     assert chunks == [(1.0, 3), (3.0, 1)]
--- a/packages/gateway/tests/batches/test_homes.py
+++ b/packages/gateway/tests/batches/test_homes.py
@@ -1,4 +1,4 @@
-"""Batches of a service go to one home, or by model to several."""
+"""Tests that a service has one home, or several for different models."""
 
 import types
 
@@ -53,22 +53,22 @@
 
 
 @pytest.mark.parametrize("replicas", [300, 3000])
-def test_models_of_a_large_service_have_homes_of_their_own(replicas):
+def test_models_of_a_large_service_have_separate_homes(replicas):
     homes = _homes(replicas, 2000)
 
     found = [homes.find("lm", model) for model in MODELS]
     assert len(set(found)) == len(MODELS)
     assert tuple(found) == homes.all("lm")
     assert homes.find("lm", "unknown") == found[0]
-    # The first one is that of a smaller service.
+    # The first home is also the only home of a smaller service.
     assert found[0] == _homes(3).find("lm", "m0")
 
 
-def test_homes_are_among_the_strong_vms():
+def test_homes_are_vms_with_a_large_capacity():
     assert set(_homes(3000, 2000).all("lm")) <= {f"vm{n}" for n in range(6)}
 
 
-def test_a_vm_that_goes_moves_the_batches_of_its_models_alone():
+def test_the_loss_of_a_home_moves_the_batches_of_its_models_only():
     homes = _homes(300, 2000)
     first, second, third = homes.all("lm")
     del homes._cluster_state.live_by_vm[third]
--- a/packages/gateway/tests/batches/test_manager.py
+++ b/packages/gateway/tests/batches/test_manager.py
@@ -1,4 +1,4 @@
-"""Runs give back their slot and their item, however they end."""
+"""Tests that runs release slots and items, and which batches are run."""
 
 import asyncio
 import types
@@ -15,15 +15,15 @@
 
 ROUTE = facts.Route("r", "h", "/", (facts.Weighted("lm", 1.0),), True)
 REPLICA = facts.Replica("r0", "lm", None, "a", 2)
-CAME_OR_WENT = directories.DirectoryChange(frozenset({"r0"}), True)
-NOTICED = directories.DirectoryChange(frozenset({"r0"}), False)
+MEMBERSHIP_CHANGED = directories.DirectoryChange(frozenset({"r0"}), True)
+NOTICE_RECEIVED = directories.DirectoryChange(frozenset({"r0"}), False)
 OWNER = records.Owner("vm", "life", 2, "", 0.0, 1)
 
 
 class _Directory:
     def __init__(self):
         self.replicas = [REPLICA, REPLICA._replace(service="plain")]
-        # The services whose replicas were asked for.
+        # The service of each query for replicas.
         self.queried_services = []
 
     def listen(self, callback):
@@ -42,12 +42,12 @@
 class _Runner:
     def __init__(self):
         self.runs = []
-        self.may_end = asyncio.Event()
-        self.may_end.set()
+        self.may_finish = asyncio.Event()
+        self.may_finish.set()
 
     async def run(self, order, replica, pace):
         self.runs.append((order.item.item_id, replica.replica_id))
-        await self.may_end.wait()
+        await self.may_finish.wait()
         return runners.RunResult(runners.RunEnd.WHOLE)
 
 
@@ -106,54 +106,55 @@
     _run(scenario)
 
 
-def test_a_replica_that_goes_before_its_run_began_keeps_no_item():
+def test_a_replica_that_leaves_before_its_run_began_keeps_no_item():
     async def scenario(manager, directory, runner):
         manager.open(_batch("b1"))
         directory.replicas = []
-        directory.changed(CAME_OR_WENT)
+        directory.changed(MEMBERSHIP_CHANGED)
         await _until(lambda: len(runner.runs) == 2)
 
     _run(scenario)
 
 
-def test_an_entry_without_batches_looks_at_no_replica():
-    """A sweep's day at 300 machines was given up.
+def test_an_entry_without_batches_queries_no_replica():
+    """Guards against passes over all replicas at entries without batches.
 
-    Each notice of an agent had every entry look at all 2,999 replicas, for
-    batches that it had not: four fifths of the entries' processor time.
+    In a simulated day with 300 machines, each notice of an agent made every
+    entry examine all 2,999 replicas for batches that it did not have. This
+    took four fifths of the entries' processor time, and the run was aborted.
     """
 
     async def scenario(manager, directory, runner):
-        for changed in [CAME_OR_WENT, NOTICED] * 5:
+        for changed in [MEMBERSHIP_CHANGED, NOTICE_RECEIVED] * 5:
             directory.changed(changed)
         assert directory.queried_services == []
         manager.open(_batch("b1"))
         tasks = manager.batches_by_id["b1"].tasks_by_item
         await _until(lambda: len(runner.runs) == 2 and not tasks)
         query_count = len(directory.queried_services)
-        directory.changed(CAME_OR_WENT)
+        directory.changed(MEMBERSHIP_CHANGED)
         assert len(directory.queried_services) == query_count
 
     _run(scenario)
 
 
-def test_batches_look_at_the_replicas_of_their_service_alone():
+def test_batches_query_the_replicas_of_their_service_only():
     async def scenario(manager, directory, runner):
         manager.open(_batch("b1"))
-        directory.changed(CAME_OR_WENT)
+        directory.changed(MEMBERSHIP_CHANGED)
         await _until(lambda: len(runner.runs) == 2)
         assert set(directory.queried_services) == {"lm"}
 
     _run(scenario)
 
 
-def test_notices_share_a_look_at_the_replicas():
+def test_notices_share_a_query_of_the_replicas():
     async def scenario(manager, directory, runner):
-        runner.may_end.clear()
+        runner.may_finish.clear()
         manager.open(_batch("b1"))
         assert len(directory.queried_services) == 1
         for _ in range(9):
-            directory.changed(NOTICED)
+            directory.changed(NOTICE_RECEIVED)
             await asyncio.sleep(0)
         assert len(directory.queried_services) == 1
         await asyncio.sleep(2 * schedulers.NOTICE_DELAY_S)
@@ -163,10 +164,11 @@
 
 
 def test_the_batch_that_was_submitted_first_goes_first():
-    """After a loss of all a trainer's later step was opened first.
+    """Guards against a later step that takes the slots of an earlier one.
 
-    It took every place, and the earlier one, which lacked a few long
-    items, was refused for 1.2 s.
+    After a loss of all processes a trainer's later step was opened first and
+    took every slot. The earlier step, which lacked only a few long items, was
+    refused for 1.2 s.
     """
 
     async def scenario(manager, directory, runner):
@@ -177,15 +179,15 @@
         manager.open(later)
         manager.open(first)
         directory.replicas = [REPLICA]
-        directory.changed(CAME_OR_WENT)
+        directory.changed(MEMBERSHIP_CHANGED)
         await _until(lambda: len(runner.runs) == 2)
         assert {item_id for item_id, _ in runner.runs} == {"b1-0", "b1-1"}
 
     _run(scenario)
 
 
-def test_only_the_newest_claim_of_a_batch_runs_and_is_answered_for():
-    """The loss of an older one had this entry forget the newer one."""
+def test_only_the_newest_claim_of_a_batch_is_open_and_runs():
+    """Guards against losing a newer claim when an older one is dropped."""
 
     async def scenario(manager, directory, runner):
         older, newer = _batch("b1"), _batch("b1", 2)
@@ -201,7 +203,7 @@
 
 
 def test_a_read_that_waits_ends_with_the_batch():
-    """It waited for its whole time for a batch that another process had."""
+    """Guards against waiting the full time after ownership is lost."""
 
     async def scenario(manager, directory, runner):
         batch = _batch("b1")
--- a/packages/gateway/tests/batches/test_saving.py
+++ b/packages/gateway/tests/batches/test_saving.py
@@ -1,4 +1,4 @@
-"""Texts that could not be saved are saved once the store answers."""
+"""Tests that failed saves are repeated once the store answers again."""
 
 import asyncio
 import types
@@ -11,12 +11,12 @@
 
 class _Store:
     def __init__(self):
-        self.is_away = True
+        self.is_down = True
         self.saved_at = []
 
     async def save(self, batch_id, saved):
-        if self.is_away:
-            raise exceptions.KeyValueUnavailable("away")
+        if self.is_down:
+            raise exceptions.KeyValueUnavailable("down")
         self.saved_at.append(asyncio.get_running_loop().time())
 
 
@@ -26,21 +26,22 @@
     return types.SimpleNamespace(
         batch_id="b1",
         state=types.SimpleNamespace(needs_no_runs=False),
-        reusable_texts=lambda least: [text],
+        reusable_texts=lambda min_events: [text],
         save_requested=asyncio.Event(),
         has_unsaved_texts=False,
     )
 
 
-def test_a_save_that_failed_is_made_as_the_store_answers(run_virtual):
+def test_a_failed_save_is_repeated_once_the_store_answers(run_virtual):
     store = _Store()
 
     async def scenario():
         batch = _batch()
         saver = asyncio.create_task(saving.Saver(store, batch).run())
-        # The first try fails, and the next is due at twice the interval.
+        # The first save fails; the next regular one is due after another
+        # interval.
         await asyncio.sleep(saving.SAVE_INTERVAL_S + 0.1)
-        store.is_away = False
+        store.is_down = False
         batches_by_id = {"b1": batch}
         managers.BatchManager.retry_failed_saves(
             types.SimpleNamespace(batches_by_id=batches_by_id)
@@ -53,7 +54,7 @@
     assert store.saved_at == [saving.SAVE_INTERVAL_S + 0.1]
 
 
-def test_what_was_saved_is_not_saved_again_for_that(run_virtual):
+def test_saved_texts_are_not_saved_again_when_the_store_answers(run_virtual):
     async def scenario():
         batch = _batch()
         batches_by_id = {"b1": batch}
--- a/packages/gateway/tests/batches/test_slot_sharing.py
+++ b/packages/gateway/tests/batches/test_slot_sharing.py
@@ -1,4 +1,4 @@
-"""Homes of a service lend each other places over a connection."""
+"""Tests that homes of a service lend each other slots over a connection."""
 
 import asyncio
 import types
@@ -21,18 +21,18 @@
 
 
 class _Pool:
-    """Calls the other home's `Sharing` in place of a connection."""
+    """Calls the other home's `SlotSharing` in place of a connection."""
 
     def __init__(self, peers_by_vm):
         self._peers_by_vm = peers_by_vm
-        self.is_cut = False
-        self.called = 0
+        self.is_failing = False
+        self.call_count = 0
 
     async def call(self, key, address, question, timeout_s, max_bytes):
-        self.called += 1
-        if self.is_cut:
+        self.call_count += 1
+        if self.is_failing:
             raise exceptions.BackendFailed(
-                "cut",
+                "connection failed",
                 reason=reasons.Refusal.CONNECT_FAILED,
                 verdict=verdict.Verdict.NOT_RUN,
             )
@@ -47,7 +47,7 @@
 
 
 class _Home:
-    """One home's dispatch and sharing, and what waits there."""
+    """One home's dispatcher and slot sharing, and its waiting items."""
 
     def __init__(self, vm_id, peers_by_vm, homes):
         cluster_state = types.SimpleNamespace(
@@ -73,7 +73,7 @@
         peers_by_vm[vm_id] = self
 
     def fill(self):
-        """Use every place that may be used; return how many were free."""
+        """Use every slot that may be used; return how many were free."""
         workers = self.dispatch.workers("lm")
         free = sum(max(0, worker.free_slots) for worker in workers)
         for worker in workers:
@@ -96,7 +96,7 @@
     await asyncio.gather(*home.slot_sharing._tasks)
 
 
-def test_a_full_home_borrows_and_no_replica_is_filled_twice():
+def test_a_full_home_borrows_slots_and_no_slot_is_used_twice():
     async def scenario(a, b):
         own = a.fill()
         a.waiting = 10
@@ -118,31 +118,31 @@
     _run(scenario)
 
 
-def test_a_home_that_is_cut_off_keeps_its_places():
+def test_a_home_borrows_nothing_if_its_request_fails():
     async def scenario(a, b):
         a.fill()
         a.waiting = 10
-        a.pool.is_cut = True
+        a.pool.is_failing = True
         await _ask(a)
-        assert a.pool.called == 1
+        assert a.pool.call_count == 1
         assert a.fill() == 0
 
     _run(scenario)
 
 
-def test_one_home_asks_nobody_and_uses_all():
+def test_a_single_home_sends_no_requests_and_uses_all_slots():
     async def scenario(a, b):
         a.waiting = 10
         await _ask(a)
-        assert not a.pool.called
+        assert not a.pool.call_count
         assert a.fill() == SLOTS * len(REPLICAS)
 
     _run(scenario, homes=("a",))
 
 
-def test_a_home_without_batches_asks_nobody():
+def test_a_home_without_items_sends_no_requests():
     async def scenario(a, b):
         await _ask(a)
-        assert not a.pool.called
+        assert not a.pool.call_count
 
     _run(scenario)
