--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -86,10 +86,10 @@
         self._homes = homes
         self._pending_writes = set()
         # Number of submissions in progress, by batch id.
-        self._accepting = collections.Counter()
+        self._accepting_counts = collections.Counter()
         self._tasks = set()
         self._taking_over = set()
-        self._opening = {}
+        self._opening_times = {}
         self._may_take_over = False
         self.is_draining = False
         cluster_state.listen(self._on_news)
@@ -182,7 +182,7 @@
         opened here, even if this process owns it.
         """
         batch_id = submission.batch_id
-        self._accepting[batch_id] += 1
+        self._accepting_counts[batch_id] += 1
         try:
             claim, carried = await self._store_batch(
                 route, batch_id, owner, stored_submission
@@ -190,9 +190,9 @@
             if claim.owner == owner._replace(parts=claim.owner.parts):
                 self._open(route, submission, claim, ((), 0, carried))
         finally:
-            self._accepting[batch_id] -= 1
-            if not self._accepting[batch_id]:
-                del self._accepting[batch_id]
+            self._accepting_counts[batch_id] -= 1
+            if not self._accepting_counts[batch_id]:
+                del self._accepting_counts[batch_id]
             # The owner may have died while the write was in progress.
             self._check_ownership({batch_id})
         return claim
@@ -347,7 +347,7 @@
     def _is_orphan(self, batch_id, owner, incarnations_by_vm):
         if (
             batch_id in self._cluster_state.ended
-            or batch_id in self._accepting
+            or batch_id in self._accepting_counts
         ):
             return False
         if owner.vm_id == self._presence.vm_id:
@@ -398,11 +398,11 @@
             return False
         _LOG.log("batch-taken-over", batch_id=batch_id, owner=owner.vm_id)
         opened = asyncio.get_running_loop().create_future()
-        self._opening[opened] = owner.submitted_at
+        self._opening_times[opened] = owner.submitted_at
         try:
             return await self._restore(batch_id, claim)
         finally:
-            del self._opening[opened]
+            del self._opening_times[opened]
             opened.set_result(None)
 
     async def _restore(self, batch_id, claim):
@@ -428,7 +428,7 @@
             route, saved = _ended_route(submission), ()
         older = [
             opened
-            for opened, submitted_at in self._opening.items()
+            for opened, submitted_at in self._opening_times.items()
             if submitted_at < claim.owner.submitted_at
         ]
         if older:
--- a/packages/gateway/anvilwell_gateway/batches/owners.py
+++ b/packages/gateway/anvilwell_gateway/batches/owners.py
@@ -30,7 +30,7 @@
         self.loaded_at = float("-inf")
 
     def listen(self, callback):
-        """Call ``callback(batch_ids)`` when batches get a new owner."""
+        """Call ``callback(batch_ids)`` when owners of batches are received."""
         self._listeners.append(callback)
 
     def is_superseded(self, batch_id, claim):
--- a/packages/gateway/anvilwell_gateway/batches/retention.py
+++ b/packages/gateway/anvilwell_gateway/batches/retention.py
@@ -80,7 +80,7 @@
         await self._remove_orphaned(now)
 
     async def _remove_orphaned(self, now):
-        """Delete batches orphaned for at least `ENDED_RETENTION_S`."""
+        """Delete batches orphaned for longer than `ENDED_RETENTION_S`."""
         self._orphaned_at_by_batch = {
             batch_id: self._orphaned_at_by_batch.get(batch_id, now)
             for batch_id in self._orphaned()
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -20,7 +20,7 @@
 
 # Longest time between two passes over waiting and running items, in seconds:
 # a tenth of the shortest stall.
-RETRY_S = 0.1
+PASS_INTERVAL_S = 0.1
 # Notices that arrive within this time share a pass, in seconds. With 223
 # agents there are hundreds of notices per second.
 NOTICE_DELAY_S = 0.01
@@ -81,7 +81,7 @@
         self._runner = runner
         self._batches_by_id = batches_by_id
         self._on_text_complete = on_text_complete
-        self._dispatch = dispatches.Dispatcher()
+        self._dispatcher = dispatches.Dispatcher()
         self._move_history = moves.MoveHistory()
         self._slot_sharing = slot_sharing
         slot_sharing.usage_of = self._slot_usage
@@ -122,7 +122,7 @@
         took_s = loop.time() - started_at
         self._next_pass_at = started_at + took_s / MAX_TIME_SHARE
         if has_work:
-            self._timer.schedule_in(RETRY_S)
+            self._timer.schedule_in(PASS_INTERVAL_S)
 
     def _schedule_soon(self):
         """Run a pass soon, limited to `MAX_TIME_SHARE` of the time."""
@@ -138,9 +138,9 @@
         Without items, the replicas are not examined at all.
         """
         waiting = sorted(
-            work
+            waiting_item
             for batch in self._batches_by_id.values()
-            for work in self._waiting_items(batch)
+            for waiting_item in self._waiting_items(batch)
         )
         has_runs = any(
             batch.runs_by_item for batch in self._batches_by_id.values()
@@ -152,11 +152,15 @@
             return False
         # The services of running items are included, as those items waited
         # before.
-        self._update_replicas({work.service for work in waiting})
+        self._update_replicas(
+            {waiting_item.service for waiting_item in waiting}
+        )
         self._refresh_limits(now)
         self._move(now)
         self._waiting_by_service = collections.Counter(
-            work.service for work in waiting if not self._start(work, now)
+            waiting_item.service
+            for waiting_item in waiting
+            if not self._start(waiting_item, now)
         )
         for service in self._services:
             self._slot_sharing.request_slots(service)
@@ -164,23 +168,23 @@
 
     def _refresh_limits(self, now):
         """Update the slot limits from the current homes and loans."""
-        if now - self._limits_refreshed_at < RETRY_S:
+        if now - self._limits_refreshed_at < PASS_INTERVAL_S:
             return
         self._limits_refreshed_at = now
         if self._slot_sharing.update_homes(self._services):
-            self._dispatch.set_limits(self._slot_sharing.limit)
+            self._dispatcher.set_limits(self._slot_sharing.limit)
 
     def _slot_usage(self, service):
         """Return the `slot_sharings.SlotUsage` of a service."""
         self._update_replicas({service})
         return slot_sharings.SlotUsage(
             self._waiting_by_service[service],
-            self._dispatch.workers(service),
+            self._dispatcher.workers(service),
         )
 
     def _limits_changed(self):
         """Apply changed slot limits; start items if any are waiting."""
-        self._dispatch.set_limits(self._slot_sharing.limit)
+        self._dispatcher.set_limits(self._slot_sharing.limit)
         if self._waiting_by_service.total():
             self._schedule_soon()
 
@@ -190,7 +194,7 @@
         if self._needs_full_update or services - self._services:
             self._needs_full_update = False
             self._services |= services
-            self._dispatch.set_replicas(
+            self._dispatcher.set_replicas(
                 replica
                 for service in self._services
                 for replica in self._directory.usable(service)
@@ -199,7 +203,7 @@
         for replica_id in changed_ids:
             replica = self._directory.find_usable(replica_id)
             is_ours = replica is not None and replica.service in self._services
-            self._dispatch.update_replica(
+            self._dispatcher.update_replica(
                 replica_id, replica if is_ours else None
             )
 
@@ -212,9 +216,9 @@
             for batch in self._batches_by_id.values()
             for run in batch.runs_by_item.values()
         ]
-        self._dispatch.set_runs(runs, self._tokens_by_service(), now)
+        self._dispatcher.set_runs(runs, self._tokens_by_service(), now)
         movable = [run for run in runs if self._may_move(run)]
-        for move in self._dispatch.choose_moves(movable, now):
+        for move in self._dispatcher.choose_moves(movable, now):
             run = move.run
             batch = self._batches_by_id[run.batch_id]
             batch.tasks_by_item[run.item_id].cancel(str(move.cause))
@@ -313,61 +317,65 @@
             batch.service = table.choose_service(route, random)
         return batch.service
 
-    def _start(self, work, now):
+    def _start(self, waiting_item, now):
         """Start one item if a replica is free; return whether it started."""
-        replica_id = self._dispatch.choose_replica(work, now)
+        replica_id = self._dispatcher.choose_replica(waiting_item, now)
         if replica_id is None:
             return False
-        batch = self._batches_by_id[work.batch_id]
-        batch.state.mark_running(work.item_id)
-        worker = self._dispatch.worker(replica_id)
-        self._dispatch.record_assignment(work, replica_id)
-        progress = batch.state.progress_by_id[work.item_id]
+        batch = self._batches_by_id[waiting_item.batch_id]
+        batch.state.mark_running(waiting_item.item_id)
+        worker = self._dispatcher.worker(replica_id)
+        self._dispatcher.record_assignment(waiting_item, replica_id)
+        progress = batch.state.progress_by_id[waiting_item.item_id]
         if not batch.route.is_resumable:
             progress.restart()
-        batch.runs_by_item[work.item_id] = dispatches.Run(
-            work.batch_id,
-            work.item_id,
+        batch.runs_by_item[waiting_item.item_id] = dispatches.Run(
+            waiting_item.batch_id,
+            waiting_item.item_id,
             replica_id,
             progress.last_number,
-            work.service,
-            work.model,
-            work.min_version,
-            work.kind,
-            work.expected_tokens,
-            work.prompt,
-            self._move_history.count(work.batch_id, work.item_id),
+            waiting_item.service,
+            waiting_item.model,
+            waiting_item.min_version,
+            waiting_item.kind,
+            waiting_item.expected_tokens,
+            waiting_item.prompt,
+            self._move_history.count(
+                waiting_item.batch_id, waiting_item.item_id
+            ),
         )
-        task = asyncio.create_task(self._run(batch, work, worker))
+        task = asyncio.create_task(self._run(batch, waiting_item, worker))
         # The slot is released by a callback, as a task that is cancelled
         # before its first step never runs its own code.
         task.add_done_callback(
-            functools.partial(self._release_slot, batch, work, worker)
+            functools.partial(self._release_slot, batch, waiting_item, worker)
         )
-        batch.tasks_by_item[work.item_id] = task
+        batch.tasks_by_item[waiting_item.item_id] = task
         return True
 
-    def _release_slot(self, batch, work, worker, task):
+    def _release_slot(self, batch, waiting_item, worker, task):
         """Release the slot and the item of a run that has ended."""
         worker.running -= 1
-        if batch.tasks_by_item.get(work.item_id) is task:
-            del batch.tasks_by_item[work.item_id]
-            del batch.runs_by_item[work.item_id]
-            batch.state.mark_stopped(work.item_id)
+        if batch.tasks_by_item.get(waiting_item.item_id) is task:
+            del batch.tasks_by_item[waiting_item.item_id]
+            del batch.runs_by_item[waiting_item.item_id]
+            batch.state.mark_stopped(waiting_item.item_id)
         error = None if task.cancelled() else task.exception()
         if error is not None:
             now = asyncio.get_running_loop().time()
             worker.not_before = now + dispatches.SILENT_PAUSE_S
-            _LOG.log("run-fault", item_id=work.item_id, cause=repr(error))
+            _LOG.log(
+                "run-fault", item_id=waiting_item.item_id, cause=repr(error)
+            )
         self._schedule_soon()
 
-    async def _run(self, batch, work, worker):
-        progress = batch.state.progress_by_id[work.item_id]
+    async def _run(self, batch, waiting_item, worker):
+        progress = batch.state.progress_by_id[waiting_item.item_id]
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         known = progress.last_number
         run_request = runners.RunRequest(
-            batch.state.items_by_id[work.item_id],
+            batch.state.items_by_id[waiting_item.item_id],
             batch.submission.host,
             progress,
             batch.submission.min_version,
@@ -391,7 +399,7 @@
             write(
                 "item-run",
                 batch_id=batch.batch_id,
-                item_id=work.item_id,
+                item_id=waiting_item.item_id,
                 replica=worker.replica.replica_id,
                 end=str(result.end),
                 cause=result.cause,
@@ -401,53 +409,55 @@
                 took_s=round(took_s, 3),
             )
         if result.is_cut:
-            fingerprint = self._fingerprint(batch, work.item_id)
+            fingerprint = self._fingerprint(batch, waiting_item.item_id)
             await self._crash_tracker.note_cut(fingerprint, worker.replica)
         elif (
             result.end is runners.RunEnd.WHOLE
             and not self._crash_tracker.is_empty
         ):
             self._crash_tracker.answered(
-                self._fingerprint(batch, work.item_id)
+                self._fingerprint(batch, waiting_item.item_id)
             )
-        self._handle_result(batch, work, worker, result)
+        self._handle_result(batch, waiting_item, worker, result)
 
-    def _handle_result(self, batch, work, worker, result):
+    def _handle_result(self, batch, waiting_item, worker, result):
         """Update the batch and the replica after a run has ended."""
         now = asyncio.get_running_loop().time()
         if result.version:
-            seen = facts.ModelVersion(work.model, result.version)
+            seen = facts.ModelVersion(waiting_item.model, result.version)
             worker.update_versions([seen])
         state = batch.state
         if result.end is runners.RunEnd.WHOLE:
-            self._record_completion(batch, work, now)
-            state.mark_text_complete(work.item_id)
+            self._record_completion(batch, waiting_item, now)
+            state.mark_text_complete(waiting_item.item_id)
             batch.has_new_results.set()
             self._on_text_complete()
             return
-        counters.count_retry(_RETRIES_BY_END[result.end], work.service)
+        counters.count_retry(_RETRIES_BY_END[result.end], waiting_item.service)
         if result.end is runners.RunEnd.FAILED:
-            state.count_failure(work.item_id)
+            state.count_failure(waiting_item.item_id)
         elif result.end is runners.RunEnd.IMPOSSIBLE:
-            state.abandon(work.item_id)
+            state.abandon(waiting_item.item_id)
         elif result.end is runners.RunEnd.REFUSED:
             worker.not_before = now + dispatches.REFUSED_PAUSE_S
         elif result.end is runners.RunEnd.OTHER_REPLICA:
             self._directory.exclude(worker.replica.replica_id)
         elif result.end is runners.RunEnd.TOO_OLD:
-            self._reset_text(batch, work.item_id)
+            self._reset_text(batch, waiting_item.item_id)
         elif result.end is runners.RunEnd.BROKEN:
             worker.not_before = now + dispatches.BROKEN_PAUSE_S
         else:
             worker.not_before = now + dispatches.SILENT_PAUSE_S
         batch.has_new_results.set()
 
-    def _record_completion(self, batch, work, now):
+    def _record_completion(self, batch, waiting_item, now):
         """Record a complete text's length and the savings of its moves."""
-        events = batch.state.progress_by_id[work.item_id].last_number
-        self._dispatch.lengths.observe(work.kind, work.expected_tokens, events)
+        events = batch.state.progress_by_id[waiting_item.item_id].last_number
+        self._dispatcher.lengths.observe(
+            waiting_item.kind, waiting_item.expected_tokens, events
+        )
         savings = self._move_history.pop_savings(
-            work.batch_id, work.item_id, events, now
+            waiting_item.batch_id, waiting_item.item_id, events, now
         )
         if savings is None:
             return
@@ -455,7 +465,7 @@
         _LOG.log(
             "item-move-ended",
             batch_id=batch.batch_id,
-            item_id=work.item_id,
+            item_id=waiting_item.item_id,
             moves=savings.moves,
             expected_s=round(savings.expected_s, 3),
             gained_s=round(savings.gained_s, 3),
--- a/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
@@ -15,7 +15,7 @@
 
 # Interval between passes while texts wait for a scoring call, in seconds. They
 # wait for the pause after a refusal or for a missing route.
-RETRY_S = 0.1
+PASS_INTERVAL_S = 0.1
 
 _LOG = logs.get_logger(__name__)
 
@@ -75,7 +75,7 @@
             for batch, item_id in unscored
         ]
         if not all(started):
-            self._timer.schedule_in(RETRY_S)
+            self._timer.schedule_in(PASS_INTERVAL_S)
 
     def _slots_by_service(self):
         """Return the total slots of each service's replicas."""
--- a/packages/gateway/anvilwell_gateway/batches/service.py
+++ b/packages/gateway/anvilwell_gateway/batches/service.py
@@ -18,7 +18,7 @@
 from anvilwell_kernel import exceptions
 
 # Interval at which start-up polls whether takeovers may begin, in seconds.
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class Batches:
@@ -141,7 +141,7 @@
             and self._owners.is_loaded
             and self._fleet.configuration.current
         ):
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         self._intake.start_takeovers()
 
     def refuse_new(self):
--- a/packages/gateway/anvilwell_gateway/dialect.py
+++ b/packages/gateway/anvilwell_gateway/dialect.py
@@ -137,7 +137,7 @@
 
     @abc.abstractmethod
     def stored_request(self, raw):
-        """Return the request that a stored ``records.Raw`` was."""
+        """Return the request of a stored ``records.StoredSubmission``."""
 
     @abc.abstractmethod
     def encode_results_page(self, total, results, next_position):
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -92,7 +92,7 @@
 
     @property
     def batches(self):
-        """The batches that this entry owns, as held_by_id."""
+        """The batches that this entry owns, as batches_by_id."""
         return self._batches.manager.batches_by_id
 
     @property
