--- a/packages/gateway/anvilwell_gateway/http/client.py
+++ b/packages/gateway/anvilwell_gateway/http/client.py
@@ -213,7 +213,7 @@
         on_event(self)
 
     def close(self):
-        """Reset the connection, which tells the peer to stop its work."""
+        """Reset the connection, so that the peer stops its work."""
         if self._idle_watch:
             self._idle_watch.cancel()
         self._writer.transport.abort()
