--- a/packages/gateway/anvilwell_gateway_standins/__init__.py
+++ b/packages/gateway/anvilwell_gateway_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for tests of the gateway without network."""
+"""Fakes and simulations for tests of the gateway without a network."""
--- a/packages/gateway/anvilwell_gateway_standins/duties.py
+++ b/packages/gateway/anvilwell_gateway_standins/duties.py
@@ -1,12 +1,12 @@
-"""Judges the calls of a duty as the platform's owners do."""
+"""Checks the calls made by the holders of a duty, as the platform does."""
 
 import typing
 
 
 class Call(typing.NamedTuple):
-    """A call that the platform took.
+    """A call that the platform received.
 
-    What arrives right after its sender was suspended is ``is_excused``.
+    It ``is_excused`` if it arrived right after its sender was suspended.
     """
 
     at: float
@@ -18,8 +18,8 @@
 
 
 def find_breaches(calls, turn_s):
-    """Return a line for each broken rule among `calls` of one duty."""
-    judged = [call for call in calls if not call.is_excused]
+    """Return a line for each rule that the `calls` of a duty break."""
+    checked = [call for call in calls if not call.is_excused]
     found = []
     counts_by_window = {}
     holders_by_fencing = {}
@@ -27,24 +27,26 @@
     for call in calls:
         known = counts_by_window.setdefault(call.window, call.counts)
         if known != call.counts:
-            found.append(f"window {call.window} was told twice, differently")
-    for call in judged:
+            found.append(
+                f"window {call.window} was reported twice, and differs"
+            )
+    for call in checked:
         holder = holders_by_fencing.setdefault(call.fencing, call.holder)
         if holder != call.holder:
-            found.append(f"two holders have the number {call.fencing}")
+            found.append(f"two holders have the fencing number {call.fencing}")
         if call.fencing < highest:
-            found.append(f"{call.fencing} came after {highest}")
+            found.append(f"fencing number {call.fencing} came after {highest}")
         highest = max(highest, call.fencing)
-    return found + _turns(judged, turn_s)
+    return found + _find_alternations(checked, turn_s)
 
 
-def _turns(calls, turn_s):
+def _find_alternations(calls, turn_s):
     """Return a line for each holder that acts again within `turn_s`."""
     return [
-        f"{first.holder}, {between.holder}, {last.holder} took turns"
+        f"{first.holder}, {between.holder}, {last.holder} alternated"
         for number, last in enumerate(calls)
-        for place, first in enumerate(calls[:number])
-        for between in calls[place + 1 : number]
+        for position, first in enumerate(calls[:number])
+        for between in calls[position + 1 : number]
         if first.holder == last.holder != between.holder
         and last.at - first.at <= turn_s
     ]
--- a/packages/gateway/anvilwell_gateway_standins/follower_world.py
+++ b/packages/gateway/anvilwell_gateway_standins/follower_world.py
@@ -1,8 +1,8 @@
-"""Processes that follow one store, in virtual time and without network.
+"""Simulates processes that follow one store, in virtual time.
 
-The store's watches, the neighbours' questions and the renewals that show
-whether the store answers are played; the followers, feeds and neighbours
-are the real ones.
+The store's watches, the requests between neighbours and the renewals that show
+whether the store answers are simulated; the followers, feeds and neighbours
+are the real classes.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class Store:
-    """Keeps values with revisions and a history."""
+    """A store that keeps values with revisions and a history."""
 
     def __init__(self):
         self.revision = 1
@@ -44,7 +44,7 @@
         self._wake()
 
     def forget(self):
-        """Drop the history; watches that wait are cut."""
+        """Drop the history, which ends waiting watches."""
         self.compacted = self.revision
         self.history.clear()
         self._wake()
@@ -72,18 +72,18 @@
 
 
 class StoreConnection:
-    """The store as one process reaches it."""
+    """One process's connection to the store, which can be cut."""
 
     def __init__(self, store, name):
         self._store = store
         self._name = name
         self._listeners = []
         self._cut = asyncio.Event()
-        self._is_suspect = False
+        self._is_unanswered = False
         self.answered_at = float("-inf")
 
     def listen_regained(self, callback):
-        """Call back when an answer comes after none did."""
+        """Call `callback` when a call succeeds after one has failed."""
         self._listeners.append(callback)
 
     @property
@@ -92,11 +92,11 @@
         return self._cut.is_set()
 
     def cut(self):
-        """Have no call answered from now on."""
+        """Answer no calls from now on."""
         self._cut.set()
 
     def heal(self):
-        """Have calls answered again; those that wait stay lost."""
+        """Answer new calls again; those already waiting stay unanswered."""
         self._cut = asyncio.Event()
 
     async def get_prefix(self, prefix):
@@ -115,40 +115,40 @@
 
     async def _call(self, kind, answer, timeout_s):
         self._store.calls.append((self._name, kind))
-        asked = asyncio.create_task(answer)
+        answering = asyncio.create_task(answer)
         cut = asyncio.create_task(self._cut.wait())
         try:
             async with asyncio.timeout(timeout_s):
                 await asyncio.wait(
-                    {asked, cut}, return_when=asyncio.FIRST_COMPLETED
+                    {answering, cut}, return_when=asyncio.FIRST_COMPLETED
                 )
                 if self.is_cut:
                     await asyncio.get_running_loop().create_future()
-                return await asked
+                return await answering
         except TimeoutError:
-            self._is_suspect = True
+            self._is_unanswered = True
             raise exceptions.KeyValueUnavailable("no answer") from None
         finally:
-            asked.cancel()
+            answering.cancel()
             cut.cancel()
 
     async def renew(self):
-        """Show again and again whether the store answers."""
+        """Check regularly whether the store answers, as lease renewals do."""
         loop = asyncio.get_running_loop()
         while True:
             if self.is_cut:
-                self._is_suspect = True
+                self._is_unanswered = True
             else:
                 self.answered_at = loop.time()
-                if self._is_suspect:
-                    self._is_suspect = False
+                if self._is_unanswered:
+                    self._is_unanswered = False
                     for callback in self._listeners:
                         loop.call_soon(callback)
             await asyncio.sleep(RETRY_S if self.is_cut else RENEW_S)
 
 
 class NumberFollower(prefix_follower.PrefixFollower):
-    """Notes each number that it is told, and when."""
+    """Records each number that it receives."""
 
     coalesce_s = 0.25
 
@@ -158,16 +158,16 @@
 
     @property
     def newest(self):
-        """The number that counts here now."""
+        """The number received last."""
         return self.seen[-1] if self.seen else 0
 
     def load(self, entries_by_key):
-        """Take the whole."""
+        """Receive all entries."""
         if KEY in entries_by_key:
             self.seen.append(int(entries_by_key[KEY].value))
 
     def change(self, change):
-        """Take one change."""
+        """Receive one change."""
         if change.key == KEY:
             self.seen.append(int(change.value))
 
@@ -181,7 +181,7 @@
 
 
 class _Wire:
-    """Connections between processes; a silent one answers nothing."""
+    """Connections between processes; a silent process never answers."""
 
     def __init__(self, world, name):
         self._world = world
@@ -229,21 +229,22 @@
         )
         self.neighbours_finder._pool = _Wire(world, name)
         self.follower = NumberFollower(self.connection)
-        # A second one, that what one of them meets also happens to another.
-        self.second = NumberFollower(self.connection, "q/")
-        self._renewing = asyncio.create_task(self.connection.renew())
+        # A second follower, to test that both react to the failures that one
+        # of them meets.
+        self.second_follower = NumberFollower(self.connection, "q/")
+        self._renewal = asyncio.create_task(self.connection.renew())
         self.follower.start(self.neighbours_finder, self.feeds)
-        self.second.start(self.neighbours_finder, self.feeds)
+        self.second_follower.start(self.neighbours_finder, self.feeds)
 
     def _age_s(self, loop):
         return loop.time() - self.connection.answered_at
 
     async def stop(self):
-        """End the process."""
+        """Stop the process."""
         self.is_alive = False
-        self._renewing.cancel()
+        self._renewal.cancel()
         await self.follower.stop()
-        await self.second.stop()
+        await self.second_follower.stop()
 
 
 class World:
@@ -266,7 +267,7 @@
         self.register(domains_by_name)
 
     def register(self, names):
-        """Tell all processes which entries are registered."""
+        """Register these entries with all processes."""
         entries = {
             name: neighbours.Candidate(name, self._domains_by_name[name])
             for name in names
@@ -276,11 +277,11 @@
 
     @property
     def alive(self):
-        """The processes that run."""
+        """The processes that are running."""
         return [p for p in self.processes_by_name.values() if p.is_alive]
 
     def watchers(self):
-        """Return the names of those that watch the store themselves."""
+        """Return the names of the processes that watch the store directly."""
         return sorted(
             name
             for name, process in self.processes_by_name.items()
@@ -288,6 +289,6 @@
         )
 
     async def stop(self):
-        """End all processes."""
+        """Stop all processes."""
         for process in self.alive:
             await process.stop()
--- a/packages/gateway/anvilwell_gateway_standins/notice_strategies.py
+++ b/packages/gateway/anvilwell_gateway_standins/notice_strategies.py
@@ -1,8 +1,8 @@
-"""Three ways of a notice to the entry that needs it, in virtual time.
+"""Simulates three ways to deliver notices, in virtual time.
 
-Each message takes a millisecond. Agents tell at random times; one entry,
-the home, needs each notice. What reaches it by no message it learns from
-the registrations.
+Each message takes a millisecond. Agents send notices at random times, and one
+entry, the home, needs all of them. It learns from the registrations what
+reaches it by no message.
 """
 
 import asyncio
@@ -20,9 +20,9 @@
 DOMAINS = "abcd"
 HOP_S = 0.001
 HEAD_BYTES = 120
-# A live key lapses so long after its VM fell silent.
+# Time until a live key lapses after its VM fell silent, in seconds.
 LAPSE_S = 4.0
-# A registration shows a version after so long at most.
+# Longest time until a registration shows a version, in seconds.
 REGISTERED_S = 3.2
 EVERY_S = 2.0
 NOTICE = notices.Notice("10.0.0.9:8080", (("model", 12),), ("model",), 1)
@@ -30,7 +30,7 @@
 
 
 class DeliveryCost(typing.NamedTuple):
-    """What a way cost for each notice, and how late notices came."""
+    """Messages and bytes for each notice, and the delays of notices."""
 
     messages: float
     size: float
@@ -39,7 +39,7 @@
 
 
 class World:
-    """Entries that may fall silent, and what went between them."""
+    """Entries, some of which fall silent, and the messages between them."""
 
     def __init__(self, entries):
         self._loop = asyncio.get_running_loop()
@@ -55,27 +55,27 @@
         self.ages_s = []
 
     def ranked(self, domain):
-        """Return the entries with live keys, one domain's first."""
+        """Return the entries with live keys, those of `domain` first."""
         now = self._loop.time()
-        there = [
+        registered = [
             vm
             for vm in self.vms
             if now - self.silent_at.get(vm, now) <= LAPSE_S
         ]
-        near = [vm for vm in there if self.domains[vm] == domain]
+        near = [vm for vm in registered if self.domains[vm] == domain]
         return [
             *rendezvous.rank_vms("watch", near),
-            *sorted(set(there) - {*near}),
+            *sorted(set(registered) - {*near}),
         ]
 
-    def record_receipt(self, vm, *made_at):
-        """Have an entry learn notices."""
+    def record_receipt(self, vm, *sent_at):
+        """Record that an entry received notices sent at these times."""
         if vm == self.home:
             now = self._loop.time()
-            self.ages_s += [now - at for at in made_at]
+            self.ages_s += [now - at for at in sent_at]
 
     async def transmit(self, vm, size):
-        """Carry one message to `vm`, or wait for ever."""
+        """Transmit one message to `vm`; never return if it is silent."""
         self.messages += 1
         self.size += size + HEAD_BYTES
         await asyncio.sleep(HOP_S)
@@ -85,7 +85,7 @@
             await self.resumed.wait()
 
     async def ask(self, vm, size):
-        """Carry a question and its answer, or fail as a timeout does."""
+        """Transmit a request and its response; fail after the timeout."""
         try:
             async with asyncio.timeout(notices.TIMEOUT_S):
                 await self.transmit(vm, size)
@@ -97,80 +97,86 @@
 
 
 class Broadcast:
-    """Each agent tells all entries."""
+    """Each agent sends its notices to all entries."""
 
     def __init__(self, world):
         self._world = world
 
-    async def send(self, domain, made_at):
-        """Tell of one notice."""
-        everyone = self._world.ranked(domain)
-        await asyncio.gather(*(self._send_to(vm, made_at) for vm in everyone))
+    async def send(self, domain, sent_at):
+        """Send one notice."""
+        entries = self._world.ranked(domain)
+        await asyncio.gather(*(self._send_to(vm, sent_at) for vm in entries))
 
-    async def _send_to(self, vm, made_at):
+    async def _send_to(self, vm, sent_at):
         try:
             await self._world.ask(vm, SIZE)
         except exceptions.BackendFailed:
             return
-        self._world.record_receipt(vm, made_at)
+        self._world.record_receipt(vm, sent_at)
 
 
 class Relayed:
-    """The reader of a domain passes notices on, with what it tells."""
+    """The watcher of a domain relays notices to the other entries.
+
+    It sends them along with the changes that it serves to its neighbours.
+    """
 
     coalesce_s = 0.05
 
     def __init__(self, world):
         self._world = world
-        self._made_by_reader = collections.defaultdict(list)
+        self._sent_at_by_reader = collections.defaultdict(list)
 
-    async def send(self, domain, made_at):
-        """Tell of one notice."""
+    async def send(self, domain, sent_at):
+        """Send one notice."""
         for reader in self._world.ranked(domain)[:3]:
             try:
                 await self._world.ask(reader, SIZE)
             except exceptions.BackendFailed:
                 continue
-            self._made_by_reader[reader].append(made_at)
-            if len(self._made_by_reader[reader]) == 1:
-                await self._pass_on(reader)
+            self._sent_at_by_reader[reader].append(sent_at)
+            if len(self._sent_at_by_reader[reader]) == 1:
+                await self._relay(reader)
             return
 
-    async def _pass_on(self, reader):
+    async def _relay(self, reader):
         await asyncio.sleep(self.coalesce_s)
-        made = self._made_by_reader.pop(reader)
+        sent_at = self._sent_at_by_reader.pop(reader)
         if reader in self._world.silent_at:
             await self._world.resumed.wait()
         await asyncio.gather(
-            *(self._pass_to(reader, domain, made) for domain in DOMAINS)
+            *(self._relay_to(reader, domain, sent_at) for domain in DOMAINS)
         )
 
-    async def _pass_to(self, reader, domain, made):
-        """Tell one entry of a domain, and by it those that ask it."""
+    async def _relay_to(self, reader, domain, sent_at):
+        """Relay to one entry of a domain, which relays to its neighbours."""
         first = self._world.ranked(domain)[0]
         if self._world.domains[reader] != domain:
             try:
-                await self._world.ask(first, SIZE * len(made))
+                await self._world.ask(first, SIZE * len(sent_at))
             except exceptions.BackendFailed:
                 return
             reader = first
-        self._world.record_receipt(reader, *made)
+        self._world.record_receipt(reader, *sent_at)
         others = {vm for vm, at in self._world.domains.items() if at == domain}
         await asyncio.gather(
-            *(self._answer(vm, made) for vm in others - {reader})
+            *(self._answer(vm, sent_at) for vm in others - {reader})
         )
 
-    async def _answer(self, vm, made):
-        """Answer a question that waits, which has it asked anew."""
+    async def _answer(self, vm, sent_at):
+        """Answer a neighbour's waiting request, so that it sends another."""
         try:
-            await self._world.ask(vm, SIZE * len(made))
+            await self._world.ask(vm, SIZE * len(sent_at))
         except exceptions.BackendFailed:
             return
-        self._world.record_receipt(vm, *made)
+        self._world.record_receipt(vm, *sent_at)
 
 
 class NamedRecipients:
-    """Agents tell whomever the answers named, by the real `Teller`s."""
+    """Agents send to the entries that the responses name.
+
+    Uses the real `notices.NoticeSender`.
+    """
 
     def __init__(self, world):
         self._world = world
@@ -181,12 +187,12 @@
         sender._pool = self
         return sender
 
-    async def send(self, domain, made_at):
-        """Tell of one notice."""
+    async def send(self, domain, sent_at):
+        """Send one notice."""
         ranked = self._world.ranked(domain)
-        # One agent in a domain stands for all: each has its own in use.
+        # One agent in each domain represents all of them.
         sender = self._senders[domain]
-        sender.set_entries(dict.fromkeys(self._world.vms, made_at), ranked)
+        sender.set_entries(dict.fromkeys(self._world.vms, sent_at), ranked)
         await sender.send(NOTICE)
 
     async def call(self, vm_id, address, question, timeout_s, max_bytes):
@@ -199,17 +205,22 @@
         return messages.Reply(200, ()), body
 
 
-async def simulate(strategy, entries, ends, agents=None, seconds=24.0):
-    """Return what a way cost, as `Counted`, when a reader ``ends`` midway.
+async def simulate(strategy, entries, failure, agents=None, seconds=24.0):
+    """Return the `DeliveryCost` of a strategy if a watcher fails midway.
 
     Parameters
     ----------
-    way : type
-        `ToAll`, `Passed` or `Named`.
+    strategy : type
+        `Broadcast`, `Relayed` or `NamedRecipients`.
     entries : int
-        How many there are.
-    ends : str
-        "no", "killed", "cut" or "suspended", the reader of domain "a".
+        Number of entries.
+    failure : str
+        "no", "killed", "cut" or "suspended": what happens to the watcher of
+        domain "a".
+    agents : int, optional
+        Number of agents, as many as entries by default.
+    seconds : float
+        Duration, in seconds of virtual time.
     """
     rng = random.Random(7)
     world = World(entries)
@@ -225,23 +236,23 @@
             )
             await asyncio.sleep(EVERY_S)
 
-    async def fail():
+    async def inject_failure():
         await asyncio.sleep(seconds / 3)
-        # The home is another one, as nearly always.
+        # Fail another entry than the home, as would nearly always be the case.
         found = world.ranked("a")
         reader = next(vm for vm in found if vm != world.home)
         world.silent_at[reader] = loop.time()
-        if ends == "killed":
+        if failure == "killed":
             world.dead.add(reader)
-        elif ends == "suspended":
+        elif failure == "suspended":
             await asyncio.sleep(6.0)
             del world.silent_at[reader]
             world.resumed.set()
 
     sending = []
-    failing = [] if ends == "no" else [fail()]
+    failures = [] if failure == "no" else [inject_failure()]
     agents = [agent(DOMAINS[n % len(DOMAINS)]) for n in range(agents)]
-    await asyncio.gather(*agents, *failing)
+    await asyncio.gather(*agents, *failures)
     await asyncio.wait(sending, timeout=10.0)
     for task in sending:
         task.cancel()
--- a/packages/gateway/tests/test_crash_sync.py
+++ b/packages/gateway/tests/test_crash_sync.py
@@ -1,4 +1,4 @@
-"""What an entry asks of others when it starts, in virtual time."""
+"""Tests what a starting entry asks of others, in virtual time."""
 
 import asyncio
 import types
@@ -15,7 +15,7 @@
 
 
 class _Pool:
-    """Stands for the entries; those in `silent` do not answer."""
+    """Simulates the other entries; those in `silent` do not answer."""
 
     def __init__(self):
         self.silent = set()
@@ -32,8 +32,14 @@
         pass
 
 
-def test_enough_entries_are_asked_until_they_answer(run_virtual, monkeypatch):
-    """One that knew nothing let a request end what others had held back."""
+def test_entries_are_asked_until_enough_have_answered(
+    run_virtual, monkeypatch
+):
+    """Guards against an entry that starts without knowledge of crashes.
+
+    Such an entry let a request crash replicas that the other entries had
+    already quarantined.
+    """
     pool = _Pool()
     monkeypatch.setattr(crash_sync.client, "Pool", lambda *_: pool)
     entries = {f"entry-{number}": f"a:{number}" for number in range(9)}
--- a/packages/gateway/tests/test_directory.py
+++ b/packages/gateway/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Which replicas an entry knows, from what is registered."""
+"""Tests which replicas the directory keeps, given the registrations."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class _Codec:
-    """Reads the start of a replica's life from an entry."""
+    """Decodes the start time of a replica's incarnation from an entry."""
 
     replicas_prefix = "r/"
 
@@ -64,7 +64,7 @@
     return sorted(one.replica_id for one in directory.usable())
 
 
-def test_an_unreadable_entry_names_no_replica_and_the_others_hold():
+def test_an_undecodable_entry_removes_its_replica_only():
     async def scenario(directory):
         _load(directory, x=b"1", y=b"1")
         _change(directory, "x", UNREADABLE)
@@ -75,7 +75,7 @@
     assert _run(scenario) == (["y@1"], ["x@1", "z@1"])
 
 
-def test_an_entry_that_can_be_read_again_names_its_replica():
+def test_an_entry_that_can_be_decoded_again_adds_its_replica():
     async def scenario(directory):
         _load(directory, x=UNREADABLE)
         _change(directory, "x", b"1")
@@ -84,16 +84,16 @@
     assert _run(scenario) == ["x@1"]
 
 
-def test_a_new_life_under_the_same_id_takes_the_place_of_the_old():
+def test_a_new_incarnation_under_the_same_id_replaces_the_old_one():
     async def scenario(directory):
         _load(directory, x=b"1")
         versions = (facts.ModelVersion("m", 3),)
-        note = notices.Notice(str(ADDRESS), versions, ("m",), 1)
-        directory.apply_notice(note)
+        notice = notices.Notice(str(ADDRESS), versions, ("m",), 1)
+        directory.apply_notice(notice)
         (before,) = directory.usable()
         _change(directory, "x", b"2")
-        # What the agent told of the earlier life comes late.
-        directory.apply_notice(note)
+        # The agent's notice of the earlier incarnation arrives late.
+        directory.apply_notice(notice)
         (after,) = directory.usable()
         return before, after
 
@@ -105,7 +105,7 @@
     )
 
 
-def test_an_old_life_is_gone_also_while_lapsed_entries_may_return():
+def test_an_old_incarnation_is_removed_also_while_lapsed_entries_may_return():
     async def scenario(directory):
         _load(directory, x=b"1")
         directory.regained()
@@ -117,26 +117,26 @@
     assert _run(scenario) == (["x@1"], ["x@2"])
 
 
-def test_a_replica_that_is_another_now_comes_back_only_if_it_stays(
+def test_an_excluded_replica_is_readmitted_if_still_registered(
     run_virtual,
 ):
     async def scenario():
         directory = directories.Directory(_Store(), _Codec())
-        told = []
-        directory.listen(lambda _: told.append(_ids(directory)))
+        reported = []
+        directory.listen(lambda _: reported.append(_ids(directory)))
         _load(directory, x=b"1", y=b"1")
         directory.exclude("x@1")
         directory.exclude("gone@1")
         is_alive = directory.is_present("x@1")
         await asyncio.sleep(directories.EXCLUSION_S + 0.1)
-        return is_alive, told
+        return is_alive, reported
 
-    is_alive, told = run_virtual(scenario())
+    is_alive, reported = run_virtual(scenario())
     assert not is_alive
-    assert told == [["x@1", "y@1"], ["y@1"], ["x@1", "y@1"]]
+    assert reported == [["x@1", "y@1"], ["y@1"], ["x@1", "y@1"]]
 
 
-def test_the_next_life_of_a_replica_that_was_set_aside_is_used():
+def test_the_next_incarnation_of_an_excluded_replica_is_used():
     async def scenario(directory):
         _load(directory, x=b"1")
         directory.exclude("x@1")
@@ -146,8 +146,8 @@
     assert _run(scenario) == ["x@2"]
 
 
-class _Whole(_Codec):
-    """Reads address, draining and start from an entry."""
+class _FullCodec(_Codec):
+    """Decodes address, draining state and start time from an entry."""
 
     def read_replica(self, key, value):
         port, is_draining, started_ms = value.decode().split()
@@ -158,25 +158,25 @@
         )
 
 
-def _told(run_virtual, scenario):
-    """Run a scenario; return each `Changed`, with ids as a sorted list."""
+def _collect_changes(run_virtual, scenario):
+    """Run a scenario; return the sorted ids and kind of each change."""
 
     async def run():
-        directory, told = directories.Directory(_Store(), _Whole()), []
+        directory, reported = directories.Directory(_Store(), _FullCodec()), []
         directory.listen(
-            lambda changed: told.append(
+            lambda changed: reported.append(
                 (sorted(changed.replica_ids), changed.is_membership)
             )
         )
         _load(directory, x=b"1 no 1", y=b"2 no 1")
-        told.clear()
+        reported.clear()
         await scenario(directory)
-        return told
+        return reported
 
     return run_virtual(run())
 
 
-def test_listeners_are_told_which_replicas_changed_and_how(run_virtual):
+def test_listeners_learn_which_replicas_changed_and_how(run_virtual):
     async def scenario(directory):
         loading = notices.Notice("10.0.0.9:2", (), ("m",), 1)
         directory.apply_notice(loading)
@@ -187,7 +187,7 @@
         _change(directory, "x", b"1 yes 1")
         _change(directory, "y", None)
 
-    assert _told(run_virtual, scenario) == [
+    assert _collect_changes(run_virtual, scenario) == [
         (["y@1"], False),
         (["y@1"], False),
         (["x@1"], True),
@@ -195,13 +195,15 @@
     ]
 
 
-def test_a_replica_that_drains_and_goes_is_told_of_twice(run_virtual):
+def test_draining_and_removal_of_a_replica_are_reported_separately(
+    run_virtual,
+):
     async def scenario(directory):
         _change(directory, "x", b"1 yes 1")
         _change(directory, "x", None)
 
-    told = [(["x@1"], True), (["x@1"], True)]
-    assert _told(run_virtual, scenario) == told
+    reported = [(["x@1"], True), (["x@1"], True)]
+    assert _collect_changes(run_virtual, scenario) == reported
 
 
 @hypothesis.given(
@@ -213,20 +215,22 @@
         )
     )
 )
-def test_the_indexes_are_what_the_registrations_say(run_virtual, steps):
+def test_the_indexes_match_the_registrations(run_virtual, steps):
     async def scenario(directory):
-        for name, value, noted in steps:
+        for name, value, notice_port in steps:
             _change(directory, name, value and value.encode())
-            if noted:
-                note = notices.Notice(f"10.0.0.9:{noted}", (), ("m",))
-                directory.apply_notice(note)
+            if notice_port:
+                notice = notices.Notice(f"10.0.0.9:{notice_port}", (), ("m",))
+                directory.apply_notice(notice)
             replicas = directory.replicas_by_id.values()
             usable = {r.replica_id for r in replicas if not r.is_draining}
             assert {r.replica_id for r in directory.usable()} == usable
             assert {r.replica_id for r in directory.usable("lm")} == usable
             for port in "12":
                 address = f"10.0.0.9:{port}"
-                there = [r for r in replicas if str(r.address) == address]
-                assert (directory.service_at(address) == "lm") == bool(there)
+                expected = [r for r in replicas if str(r.address) == address]
+                assert (directory.service_at(address) == "lm") == bool(
+                    expected
+                )
 
-    _told(run_virtual, scenario)
+    _collect_changes(run_virtual, scenario)
--- a/packages/gateway/tests/test_engine_listing.py
+++ b/packages/gateway/tests/test_engine_listing.py
@@ -1,4 +1,4 @@
-"""When an agent reads which engines its service has."""
+"""Tests when an agent reads the engines of its service."""
 
 import asyncio
 import types
@@ -19,7 +19,7 @@
 
 
 class _Store:
-    """Has so many engines of one service, and one of another."""
+    """A store with a number of engines of one service, and one of another."""
 
     def __init__(self, engines):
         services = {f"r/{n}": b"lm" for n in range(engines)}
@@ -44,32 +44,39 @@
         (engine_listing.LARGE_SERVICE_ENGINES + 1, 3),
     ],
 )
-def test_many_engines_are_read_again_only_for_a_cause(
+def test_many_engines_are_read_again_only_without_a_confirmation(
     run_virtual, engines, reads
 ):
     async def scenario():
         store, clock = _Store(engines), asyncio.get_running_loop().time
-        known = engine_listing.EngineListing(store, _Codec(), "lm")
-        addresses = await known.find(notices.EngineDigest())
+        engines_of_service = engine_listing.EngineListing(
+            store, _Codec(), "lm"
+        )
+        addresses = await engines_of_service.find(notices.EngineDigest())
         await asyncio.sleep(engine_listing.MAX_READ_AGE_S)
         same = notices.EngineDigest(notices.digest(addresses), clock())
-        assert await known.find(same) == addresses
+        assert await engines_of_service.find(same) == addresses
         await asyncio.sleep(engine_listing.MAX_READ_AGE_S)
         other = notices.EngineDigest(same.digest + 1, clock())
-        assert await known.find(other) == addresses
+        assert await engines_of_service.find(other) == addresses
         await asyncio.sleep(engine_listing.REPORT_VALIDITY_S)
-        assert await known.find(same) == addresses
+        assert await engines_of_service.find(same) == addresses
         return len(addresses), store.reads
 
     assert run_virtual(scenario()) == (engines, reads)
 
 
-def test_what_was_read_just_now_is_not_read_again(run_virtual):
+def test_a_recent_read_is_not_repeated(run_virtual):
     async def scenario():
         store = _Store(2)
-        known = engine_listing.EngineListing(store, _Codec(), "lm")
+        engines_of_service = engine_listing.EngineListing(
+            store, _Codec(), "lm"
+        )
         for _ in range(3):
-            finds = (known.find(notices.EngineDigest()) for _ in range(3))
+            finds = (
+                engines_of_service.find(notices.EngineDigest())
+                for _ in range(3)
+            )
             assert len(set(map(tuple, await asyncio.gather(*finds)))) == 1
             await asyncio.sleep(engine_listing.MAX_READ_AGE_S)
         return store.reads
@@ -77,11 +84,15 @@
     assert run_virtual(scenario()) == 3
 
 
-def test_registrations_that_cannot_be_read_name_nobody(run_virtual):
+def test_an_unreadable_store_gives_no_engines(run_virtual):
     async def scenario():
         store = _Store(2)
         store.is_away = True
-        known = engine_listing.EngineListing(store, _Codec(), "lm")
-        return await known.find(notices.EngineDigest()), known.age_s
+        engines_of_service = engine_listing.EngineListing(
+            store, _Codec(), "lm"
+        )
+        return await engines_of_service.find(
+            notices.EngineDigest()
+        ), engines_of_service.age_s
 
     assert run_virtual(scenario()) == ([], float("inf"))
--- a/packages/gateway/tests/test_neighbours.py
+++ b/packages/gateway/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""Followers that are told by a neighbour, under failure."""
+"""Tests followers that receive changes from a neighbour, under failures."""
 
 import asyncio
 
@@ -11,19 +11,20 @@
 
 
 ONE_DOMAIN = dict.fromkeys(["e1", "e2", "e3", "e4", "e5"], "a")
-# What a change may take until it is in force everywhere, in seconds.
+# Time within which a change must arrive at all processes, in seconds.
 BOUND_S = 2.0
 
 
 @pytest.fixture(scope="session")
-def play(run_virtual):
-    """Return what plays a scenario in a settled world."""
+def run_scenario(run_virtual):
+    """Return a function that runs a scenario in a settled world."""
 
     def run(scenario, domains_by_name=ONE_DOMAIN):
         async def settled():
             world = worlds.World(domains_by_name)
             world.store.write(1)
-            # Two of the first watches' returns.
+            # Long enough for two watches of the store to return without
+            # changes.
             await asyncio.sleep(20.0)
             try:
                 return await scenario(world)
@@ -39,7 +40,7 @@
     return {p.follower.newest for p in world.alive}
 
 
-def test_one_process_a_failure_domain_watches_the_store(play):
+def test_one_process_a_failure_domain_watches_the_store(run_scenario):
     async def scenario(world):
         world.store.calls.clear()
         for value in range(2, 12):
@@ -48,50 +49,52 @@
         return world.watchers(), world.store.calls, _newest(world)
 
     domains = ONE_DOMAIN | dict.fromkeys(["f1", "f2", "f3"], "b")
-    watchers, calls, newest = play(scenario, domains)
+    watchers, calls, newest = run_scenario(scenario, domains)
 
     assert [domains[name] for name in watchers] == ["a", "b"]
     assert {name for name, _ in calls} == set(watchers)
-    # Two followers in each of two watchers, a watch for each change.
+    # Two followers in each of two watchers, with one watch for each change.
     assert len(calls) <= 44
     assert newest == {11}
 
 
-def test_a_change_is_told_at_once(play):
+def test_a_change_is_received_at_once(run_scenario):
     async def scenario(world):
         world.store.write(2)
         await asyncio.sleep(0.1)
         return _newest(world)
 
-    assert play(scenario) == {2}
+    assert run_scenario(scenario) == {2}
 
 
-async def _change_is_in_force(world):
+async def _write_and_wait(world):
     world.store.write(2)
     await asyncio.sleep(BOUND_S)
     return _newest(world)
 
 
-def test_a_change_is_in_force_though_the_neighbour_dies(play):
+def test_a_change_arrives_in_time_if_the_neighbour_dies(run_scenario):
     async def scenario(world):
         (watcher,) = world.watchers()
         await world.processes_by_name[watcher].stop()
-        return await _change_is_in_force(world)
+        return await _write_and_wait(world)
 
-    assert play(scenario) == {2}
+    assert run_scenario(scenario) == {2}
 
 
-def test_a_change_is_in_force_though_the_neighbour_falls_silent(play):
+def test_a_change_arrives_in_time_if_the_neighbour_falls_silent(run_scenario):
     async def scenario(world):
         (watcher,) = world.watchers()
         world.silent.add(watcher)
-        newest = await _change_is_in_force(world)
+        newest = await _write_and_wait(world)
         return newest, watcher in world.watchers()
 
-    assert play(scenario) == ({2}, True)
+    assert run_scenario(scenario) == ({2}, True)
 
 
-def test_a_change_is_in_force_though_the_neighbour_lost_the_store(play):
+def test_a_change_arrives_in_time_if_the_neighbour_loses_the_store(
+    run_scenario,
+):
     async def scenario(world):
         (watcher,) = world.watchers()
         cut = world.processes_by_name[watcher]
@@ -101,10 +104,10 @@
         others = [p for p in world.alive if p is not cut]
         return {p.follower.newest for p in others}
 
-    assert play(scenario) == {2}
+    assert run_scenario(scenario) == {2}
 
 
-def test_nobody_presses_a_store_that_answers_nobody(play):
+def test_an_outage_of_the_store_causes_few_calls(run_scenario):
     async def scenario(world):
         world.store.calls.clear()
         for process in world.alive:
@@ -117,14 +120,14 @@
         await asyncio.sleep(BOUND_S)
         return calls, _newest(world)
 
-    calls, newest = play(scenario)
+    calls, newest = run_scenario(scenario)
 
-    # The two followers that watch try again each second or two.
+    # The two followers that watch the store retry every second or two.
     assert calls <= 12
     assert newest == {2}
 
 
-def test_nobody_leaves_a_neighbour_that_is_back_a_moment_later(play):
+def test_a_neighbour_that_reconnects_a_moment_later_is_kept(run_scenario):
     async def scenario(world):
         (watcher,) = world.watchers()
         for process in world.alive:
@@ -142,10 +145,10 @@
         await asyncio.sleep(BOUND_S)
         return {name for name, _ in world.store.calls} - {watcher}
 
-    assert play(scenario) == set()
+    assert run_scenario(scenario) == set()
 
 
-def test_a_forgotten_history_is_read_anew_by_one_process(play):
+def test_one_process_reads_again_if_the_history_is_gone(run_scenario):
     async def scenario(world):
         world.store.calls.clear()
         world.store.is_paused = True
@@ -156,13 +159,13 @@
         await asyncio.sleep(0.5)
         return _newest(world), [c for c in world.store.calls if c[1] == "read"]
 
-    newest, reads = play(scenario)
+    newest, reads = run_scenario(scenario)
 
     assert newest == {2}
     assert len(reads) == 2
 
 
-def test_another_neighbour_goes_on_from_the_same_revision(play):
+def test_another_neighbour_continues_from_the_same_revision(run_scenario):
     async def scenario(world):
         (watcher,) = world.watchers()
         await world.processes_by_name[watcher].stop()
@@ -170,10 +173,10 @@
         for value in range(2, 9):
             world.store.write(value)
             await asyncio.sleep(2.0)
-        (heir,) = world.watchers()
-        return heir != watcher, [p.follower.seen for p in world.alive]
+        (successor,) = world.watchers()
+        return successor != watcher, [p.follower.seen for p in world.alive]
 
-    is_another, seen = play(scenario)
+    is_another, seen = run_scenario(scenario)
 
     assert is_another
     for numbers in seen:
@@ -181,7 +184,7 @@
         assert set(numbers) >= set(range(3, 9))
 
 
-def test_a_neighbour_that_is_behind_takes_nobody_back(play):
+def test_followers_ignore_older_data_of_a_neighbour(run_scenario):
     async def scenario(world):
         (watcher,) = world.watchers()
         feed = world.processes_by_name[watcher].feeds.feed(worlds.PREFIX)
@@ -195,12 +198,12 @@
         await asyncio.sleep(3.0)
         return [p.follower.seen for p in world.alive]
 
-    for numbers in play(scenario):
+    for numbers in run_scenario(scenario):
         assert numbers == sorted(numbers)
         assert numbers[-1] == 2
 
 
-def test_processes_without_a_neighbour_watch_by_themselves(play):
+def test_processes_without_a_neighbour_watch_the_store(run_scenario):
     async def scenario(world):
         world.store.write(2)
         await asyncio.sleep(1.0)
@@ -208,11 +211,11 @@
 
     domains = {"e1": "a", "f1": "b", "g1": "c"}
 
-    assert play(scenario, domains) == (["e1", "f1", "g1"], {2})
+    assert run_scenario(scenario, domains) == (["e1", "f1", "g1"], {2})
 
 
 @pytest.mark.parametrize("body", [b"", b"\xff", b"\x81\x01"])
-def test_an_answer_that_can_not_be_read_tells_nothing(body):
+def test_an_undecodable_response_is_an_error(body):
     with pytest.raises(feeds.FeedUnavailable):
         feeds.read_response(200, body)
 
@@ -251,18 +254,18 @@
 
 
 @hypothesis.given(faults=FAULTS)
-def test_followers_never_go_back_and_miss_nothing(play, faults):
+def test_followers_never_go_back_and_miss_no_change(run_scenario, faults):
     async def scenario(world):
         await _apply_faults(world, faults)
         world.silent.clear()
         for process in world.alive:
             process.connection.heal()
-        # Longer than a doubt and a lost watch together take.
+        # Longer than a skipped neighbour and a lost watch take together.
         await asyncio.sleep(25.0)
         world.store.write(999)
         await asyncio.sleep(BOUND_S)
         return [p.follower.seen for p in world.alive]
 
-    for numbers in play(scenario):
+    for numbers in run_scenario(scenario):
         assert numbers == sorted(numbers)
         assert numbers[-1] == 999
--- a/packages/gateway/tests/test_notices.py
+++ b/packages/gateway/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""How agents' notices reach the entries that need them."""
+"""Tests that agents' notices reach the entries that need them."""
 
 import asyncio
 import types
@@ -14,44 +14,45 @@
 import cbor2
 import pytest
 
-ENDS = ["no", "killed", "cut", "suspended"]
+FAILURES = ["no", "killed", "cut", "suspended"]
 
 
-@pytest.mark.parametrize("ends", ENDS)
+@pytest.mark.parametrize("failure", FAILURES)
 @pytest.mark.parametrize("entries", [20, 80])
-def test_a_notice_goes_to_those_that_need_it(run_virtual, entries, ends):
-    played = strategies.simulate(
-        strategies.NamedRecipients, entries, ends, 20, 12.0
+def test_a_notice_goes_to_the_entries_that_need_it(
+    run_virtual, entries, failure
+):
+    simulation = strategies.simulate(
+        strategies.NamedRecipients, entries, failure, 20, 12.0
     )
-    named = run_virtual(played)
+    cost = run_virtual(simulation)
 
-    # The one that is asked and the one that runs batches.
-    assert named.messages <= 4
-    # One round trip, or two where the answer had to name it.
-    assert named.most_s <= 4.1 * strategies.HOP_S
+    # One request and response each for the entry that is asked for the
+    # recipients and for the one that runs batches.
+    assert cost.messages <= 4
+    # One round trip, or two if the response had to name the recipient.
+    assert cost.most_s <= 4.1 * strategies.HOP_S
 
 
 @pytest.mark.parametrize(
     ("strategy", "messages", "p99_s"),
     [(strategies.Broadcast, 30, 0.002), (strategies.Relayed, 30, 0.5)],
 )
-def test_other_ways_cost_more_or_come_later(
+def test_other_strategies_cost_more_or_take_longer(
     run_virtual, strategy, messages, p99_s
 ):
-    counted = run_virtual(
-        strategies.simulate(strategy, 20, "cut", seconds=12.0)
-    )
+    cost = run_virtual(strategies.simulate(strategy, 20, "cut", seconds=12.0))
 
-    assert counted.messages > messages
-    assert counted.p99_s >= p99_s
+    assert cost.messages > messages
+    assert cost.p99_s >= p99_s
 
 
-def _claim(vm_id, life, service):
-    owner = records.Owner(vm_id, life, 2, "", 0.0, 1, service)
+def _claim(vm_id, incarnation, service):
+    owner = records.Owner(vm_id, incarnation, 2, "", 0.0, 1, service)
     return records.Claim(owner, 1)
 
 
-def test_homes_and_living_owners_of_a_service_need_its_notices(run_virtual):
+def test_homes_and_live_owners_of_a_service_need_its_notices(run_virtual):
     targets = (facts.Weighted("lm", 1.0), facts.Weighted("lm-next", 1.0))
     route = facts.Route("r", "h", "/", targets, True)
     plain = facts.Route("p", "h", "/p", (facts.Weighted("app", 1.0),))
@@ -92,15 +93,15 @@
 
 
 class _Directory:
-    """Has two engines of a service."""
+    """A directory with two engines of a service."""
 
     def __init__(self):
         self.replicas_by_id = {}
-        self.noted = []
+        self.notices = []
         for name in ("r1", "r2"):
-            self.take(name)
+            self.register(name)
 
-    def take(self, name):
+    def register(self, name):
         replica = facts.Replica(name, "lm", name, "a", 4)
         self.replicas_by_id[name] = replica
 
@@ -108,13 +109,13 @@
         self.changed = callback
 
     def apply_notice(self, notice):
-        self.noted.append(notice)
+        self.notices.append(notice)
 
     def service_at(self, address):
         return "lm"
 
 
-def test_an_answer_tells_which_engines_a_service_has():
+def test_a_response_has_the_digest_of_the_engines_of_a_service():
     directory = _Directory()
     listener = notices.NoticeHandler(
         directory,
@@ -134,7 +135,7 @@
         return sent[-1]
 
     assert ask() == [{"m": 3}, ["e1"], notices.digest(["r2", "r1"])]
-    assert directory.noted == [notice]
-    directory.take("r3")
+    assert directory.notices == [notice]
+    directory.register("r3")
     directory.changed(directories.DirectoryChange(frozenset({"r3"}), True))
     assert ask()[2] == notices.digest(["r1", "r2", "r3"])
--- a/packages/gateway/tests/test_operations_page.py
+++ b/packages/gateway/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""Every event that is logged has its row on the operators' page."""
+"""Tests that the operators' page lists each event, reason and metric."""
 
 import ast
 import pathlib
@@ -15,7 +15,7 @@
 PAGE = ROOT / "docs" / "OPERATIONS.md"
 
 
-def _logged():
+def _logged_events():
     for path in [*PACKAGE.rglob("*.py"), *ADAPTERS.rglob("*.py")]:
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not node.args:
@@ -26,16 +26,16 @@
 
 
 def _rows(title):
-    """Return the first cells of the table under a heading."""
+    """Return the first cells of the table below a heading."""
     _, _, rest = PAGE.read_text().partition(f"## {title}\n")
     section, _, _ = rest.partition("\n## ")
     return sorted(re.findall(r"^\| `([a-z_-]+)` \|", section, re.MULTILINE))
 
 
-def _used(enumeration):
-    """Return the members of an enumeration that the gateway names.
+def _used_members(enumeration):
+    """Return the members of an enumeration that the gateway uses.
 
-    Those that its errors carry by default count too.
+    This includes the default reasons of the exceptions that it raises.
     """
     sources = [path.read_text() for path in PACKAGE.rglob("*.py")]
     text = "\n".join(sources)
@@ -48,19 +48,19 @@
     return sorted(str(members[name]) for name in found)
 
 
-def test_each_event_has_its_row_and_each_row_its_event():
-    assert _rows("Events") == sorted(set(_logged()))
+def test_the_table_of_events_is_complete():
+    assert _rows("Events") == sorted(set(_logged_events()))
 
 
 @pytest.mark.parametrize(
     ("title", "enumeration"),
     [("Reasons of refusals", "Refusal"), ("Reasons of retries", "Retry")],
 )
-def test_each_reason_has_its_row_and_each_row_its_reason(title, enumeration):
-    assert _rows(title) == _used(enumeration)
+def test_the_tables_of_reasons_are_complete(title, enumeration):
+    assert _rows(title) == _used_members(enumeration)
 
 
-def test_each_metric_has_its_row_and_each_row_its_metric():
+def test_the_table_of_metrics_is_complete():
     named = re.findall(
         r'"(anvilwell_[a-z_]+)"', (PACKAGE / "measures.py").read_text()
     )
--- a/packages/gateway/tests/test_outages.py
+++ b/packages/gateway/tests/test_outages.py
@@ -1,4 +1,4 @@
-"""What is done the moment the store answers again."""
+"""Tests what happens as soon as the store answers again after an outage."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class _Store(stores.OutageTracker):
-    """Gives no answer until it is ``back``; calls before that hang."""
+    """A store whose calls hang while it is silent, until ``back()``."""
 
     def __init__(self):
         super().__init__()
@@ -43,7 +43,7 @@
         return await self._call("keep", True)
 
 
-def test_a_write_that_hangs_is_repeated_as_the_store_answers(run_virtual):
+def test_a_hung_write_is_repeated_once_the_store_answers(run_virtual):
     store = _Store()
     store.is_silent = True
 
@@ -55,7 +55,7 @@
     assert store.calls == [("swap", 0.0), ("swap", 0.3)]
 
 
-def test_a_call_that_was_just_sent_is_not_repeated(run_virtual):
+def test_a_call_that_was_just_sent_is_not_cancelled(run_virtual):
     store = _Store()
 
     async def scenario():
@@ -72,7 +72,7 @@
     assert run_virtual(scenario()) == "answer"
 
 
-def test_whoever_stops_waiting_is_not_told_to_repeat(run_virtual):
+def test_a_cancelled_write_is_not_repeated(run_virtual):
     store = _Store()
     store.is_silent = True
 
@@ -90,11 +90,12 @@
     assert len(store.calls) == 1
 
 
-def test_owners_get_time_to_register_again_after_an_outage(run_virtual):
-    """All leases had lapsed as a store came back after six seconds.
+def test_owners_have_time_to_register_again_after_an_outage(run_virtual):
+    """Guards against takeovers from owners that are about to re-register.
 
-    One entry was quicker than the owner of all batches, and what that had
-    in memory was lost.
+    All leases had lapsed when the store came back after six seconds. One entry
+    registered before the owner of all batches and took them over, and the
+    state in the owner's memory was lost.
     """
     store = _Store()
 
--- a/packages/gateway/tests/test_prefix_follower.py
+++ b/packages/gateway/tests/test_prefix_follower.py
@@ -1,4 +1,4 @@
-"""A follower over a store whose answers are scripted."""
+"""Tests a prefix follower on a store with scripted answers."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 import pytest
 
 
-class _Scripted:
-    """Gives scripted answers in turn, then waits for ever."""
+class _ScriptedStore:
+    """Returns scripted answers in turn, then never answers again."""
 
     def __init__(self, **answers):
         self.answers = answers
@@ -73,7 +73,7 @@
     monkeypatch.setattr(prefix_follower, "RETRY_S", 0.0)
 
     async def run():
-        store = _Scripted(**answers)
+        store = _ScriptedStore(**answers)
         follower = _Follower(store)
         follower.start()
         while len(store.calls) < count:
@@ -84,7 +84,7 @@
     return asyncio.run(run())
 
 
-def test_changes_follow_the_whole_read(monkeypatch):
+def test_changes_follow_the_first_read(monkeypatch):
     seen, calls = _follow(
         monkeypatch,
         3,
@@ -96,7 +96,7 @@
     assert calls[1:] == [("watch", 5), ("watch", 7)]
 
 
-def test_a_forgotten_history_is_read_anew(monkeypatch):
+def test_all_entries_are_read_again_if_the_history_is_gone(monkeypatch):
     seen, _ = _follow(
         monkeypatch,
         4,
@@ -107,7 +107,7 @@
     assert seen == [["a"], ["b"]]
 
 
-def test_an_older_read_is_not_believed(monkeypatch):
+def test_a_read_older_than_the_local_copy_is_ignored(monkeypatch):
     seen, _ = _follow(
         monkeypatch,
         5,
@@ -118,7 +118,7 @@
     assert seen == [["a"], ["c"]]
 
 
-def test_a_lost_watch_may_have_missed_changes_so_all_is_read(monkeypatch):
+def test_all_entries_are_read_again_after_a_lost_watch(monkeypatch):
     seen, calls = _follow(
         monkeypatch,
         5,
@@ -130,10 +130,10 @@
     assert calls[3] == ("watch", 7)
 
 
-def test_a_watch_that_may_hang_is_begun_anew(monkeypatch):
+def test_a_watch_that_may_hang_is_restarted(monkeypatch):
     async def run():
         reads = [_snapshot(5, "a"), _snapshot(6, "a", "b")]
-        store = _Scripted(get_prefix=reads)
+        store = _ScriptedStore(get_prefix=reads)
         follower = _Follower(store)
         follower.start()
         while len(store.calls) < 2:
@@ -156,11 +156,11 @@
 
 def _swap(monkeypatch, answers, **kwargs):
     monkeypatch.setattr(stores, "WRITE_RETRY_S", 0.01)
-    store = _Scripted(swap=answers)
+    store = _ScriptedStore(swap=answers)
     return asyncio.run(stores.swap_until_known(store, SWAPS, **kwargs))
 
 
-def test_a_lost_write_is_repeated_until_it_is_known(monkeypatch):
+def test_a_lost_write_is_repeated_until_its_outcome_is_known(monkeypatch):
     answers = [_lost(), _lost(verdicts.Verdict.NOT_RUN), LANDED]
 
     assert (
@@ -169,10 +169,10 @@
     )
 
 
-def test_a_store_that_is_away_for_hours_is_asked_on(run_virtual):
+def test_a_follower_keeps_trying_during_an_outage_of_hours(run_virtual):
     async def scenario():
         away = [exceptions.KeyValueUnavailable("away") for _ in range(1100)]
-        store = _Scripted(get_prefix=[*away, _snapshot(1, "p/a")])
+        store = _ScriptedStore(get_prefix=[*away, _snapshot(1, "p/a")])
         follower = _Follower(store)
         follower.start()
         while not follower.seen:
@@ -187,28 +187,30 @@
     assert run_virtual(bounded()) == [["p/a"]]
 
 
-def test_a_store_that_is_away_is_asked_seldom_until_it_answers(run_virtual):
+def test_an_outage_slows_retries_until_the_store_answers(run_virtual):
     async def run():
-        store = _Scripted(get_prefix=[_lost()] * 100)
+        store = _ScriptedStore(get_prefix=[_lost()] * 100)
         follower = _Follower(store)
         follower.start()
         await asyncio.sleep(60.0)
-        asked = len(store.calls)
+        calls = len(store.calls)
         store.answers["get_prefix"] = [_snapshot(5, "p/a")]
         store.regained()
         await asyncio.sleep(0.1)
         seen = follower.seen
         await follower.stop()
-        return asked, seen
+        return calls, seen
 
-    asked, seen = run_virtual(run())
+    calls, seen = run_virtual(run())
     least = 60.0 / prefix_follower.MAX_RETRY_S
-    assert least < asked < 2 * least
+    assert least < calls < 2 * least
     assert seen == [["p/a"]]
 
 
 @pytest.mark.parametrize("verdict", list(verdicts.Verdict)[:2])
-def test_a_write_says_not_run_only_if_no_try_may_land(monkeypatch, verdict):
+def test_a_write_is_not_run_only_if_no_attempt_may_be_applied(
+    monkeypatch, verdict
+):
     answers = [_lost(verdict)] + [_lost(verdicts.Verdict.NOT_RUN)] * 50
 
     with pytest.raises(exceptions.KeyValueUnavailable) as caught:
--- a/packages/gateway/tests/test_store.py
+++ b/packages/gateway/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Writes whose answers are lost, refused or late land once, or never."""
+"""Tests that a write is applied at most once if calls are lost or late."""
 
 import asyncio
 import enum
@@ -20,7 +20,7 @@
 
 
 class Fate(enum.Enum):
-    """What becomes of one call."""
+    """What happens to one call."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -30,13 +30,13 @@
 
 
 class FakeStore:
-    """One key, and a script of what becomes of each call."""
+    """A store with one key and a script of the fate of each call."""
 
     def __init__(self, fates=(), late_s=2.0):
         self._fates = list(fates)
         self._late_s = late_s
         self.entry = None
-        self.landed = []
+        self.applied = []
 
     async def swap(self, swaps):
         fate = self._fates.pop(0) if self._fates else Fate.ANSWERED
@@ -57,12 +57,12 @@
             found = {KEY: self.entry} if self.entry else {}
             return keyvalue.SwapResult(False, 0, found)
         self.entry = keyvalue.Entry(KEY, swap.value, revision + 1)
-        self.landed.append(swap.value)
+        self.applied.append(swap.value)
         return keyvalue.SwapResult(True, revision + 1, {})
 
 
 async def _write(store, value=b"mine", refusal_timeout_s=REFUSAL_TIMEOUT_S):
-    """Return whose value is there, or the verdict of a failure."""
+    """Return the value that is stored, or the verdict of a failure."""
     swap = keyvalue.Swap(KEY, 0, value)
     try:
         result = await stores.swap_until_known(
@@ -84,26 +84,26 @@
         [Fate.ARRIVES_LATE],
     ],
 )
-def test_a_write_lands_once_whatever_is_lost(fates, run_virtual):
+def test_a_write_is_applied_once_despite_lost_calls(fates, run_virtual):
     store = FakeStore(fates)
 
     async def scenario():
         outcome = await _write(store)
-        # What arrives late finds the key written.
+        # A call that arrives late finds the key already written.
         await asyncio.sleep(TIMEOUT_S)
         return outcome
 
     assert run_virtual(scenario()) == b"mine"
-    assert store.landed == [b"mine"]
+    assert store.applied == [b"mine"]
 
 
-def test_another_write_instead_of_mine_is_told(run_virtual):
+def test_a_write_by_another_process_is_reported(run_virtual):
     store = FakeStore([Fate.NEVER_ARRIVES])
     store._apply(keyvalue.Swap(KEY, 0, b"theirs"))
     assert run_virtual(_write(store)) == b"theirs"
 
 
-def test_a_store_that_refuses_each_try_has_done_nothing(run_virtual):
+def test_only_refused_attempts_give_the_verdict_not_run(run_virtual):
     store = FakeStore([Fate.REFUSED] * 100)
 
     async def scenario():
@@ -119,7 +119,9 @@
 @pytest.mark.parametrize(
     "unknown", [Fate.ANSWER_LOST, Fate.NEVER_ARRIVES, Fate.ARRIVES_LATE]
 )
-def test_one_unknown_try_forbids_the_promise(unknown, run_virtual):
+def test_one_unknown_attempt_rules_out_the_verdict_not_run(
+    unknown, run_virtual
+):
     store = FakeStore([Fate.REFUSED, unknown, *[Fate.REFUSED] * 100])
 
     async def scenario():
@@ -128,7 +130,8 @@
 
     outcome, took_s = run_virtual(scenario())
     assert outcome is MAY_HAVE_RUN
-    # An outcome that is unknown is looked after for longer.
+    # If the outcome is unknown, attempts continue beyond the timeout for
+    # refused ones.
     assert REFUSAL_TIMEOUT_S < took_s <= TIMEOUT_S
 
 
@@ -137,14 +140,14 @@
     late_s=st.floats(0.01, 20.0),
     gap_s=st.floats(0.0, 3.0),
 )
-def test_two_entries_that_are_given_one_batch(
+def test_at_most_one_of_two_entries_writes_the_owner_of_a_batch(
     fates, late_s, gap_s, run_virtual
 ):
-    """A trainer that heard nothing asks another entry.
+    """A trainer without an answer sends its batch to another entry.
 
-    Whatever becomes of the calls: one value lands at most, whoever was
-    told of an owner was told of that one, and a write that was promised
-    never to land has not landed.
+    Whatever happens to the calls, at most one value is written, every reported
+    owner is that value, and a write with the verdict ``NOT_RUN`` is never
+    applied.
     """
     store = FakeStore(fates, late_s)
 
@@ -157,8 +160,8 @@
         return outcomes
 
     outcomes = run_virtual(scenario())
-    assert len(store.landed) <= 1
-    told = {one for one in outcomes if isinstance(one, bytes)}
-    assert told <= set(store.landed)
+    assert len(store.applied) <= 1
+    reported = {one for one in outcomes if isinstance(one, bytes)}
+    assert reported <= set(store.applied)
     for value, outcome in zip((b"first", b"second"), outcomes, strict=True):
-        assert outcome is not NOT_RUN or value not in store.landed
+        assert outcome is not NOT_RUN or value not in store.applied
--- a/packages/gateway/tests/test_suspended.py
+++ b/packages/gateway/tests/test_suspended.py
@@ -1,10 +1,10 @@
-"""What a process believes in the moment after its VM was suspended.
+"""Tests what a process may assume right after its VM was suspended.
 
-The steady clock stands still while a VM is suspended, and others go on:
-they take over what it held once its lease has lapsed. An event loop that
-goes by that clock takes a renewal of seven seconds ago for one of a
-moment ago. Found by reading the code, and shown by these tests: with the
-loop's usual clock, the first two fail.
+The monotonic clock stands still while a VM is suspended, but other processes
+continue and take over what this one held once its lease has lapsed. An event
+loop that uses that clock would treat a renewal of seven seconds ago as if it
+had just happened. The fault was found by reading the code; with the event
+loop's default clock, the first two tests fail.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 class _BootClock:
-    """Goes on with the steady clock, and while the VM is suspended."""
+    """A clock that advances with the monotonic one and during suspensions."""
 
     def __init__(self):
         self.ahead_s = 0.0
@@ -55,7 +55,7 @@
 
 
 class _Store:
-    """Renews at once; ``in_get`` is called while a read is under way."""
+    """A store that renews at once and calls ``in_get`` during each read."""
 
     def __init__(self, entry=None, in_get=None):
         self.entry = entry
@@ -79,7 +79,7 @@
         pass
 
 
-def test_what_was_renewed_before_is_not_believed_until_it_is_again(
+def test_a_renewal_before_the_suspension_does_not_count(
     boot_clock,
 ):
     async def scenario():
@@ -99,7 +99,7 @@
     assert _run(scenario()) == (False, False, False)
 
 
-def test_no_order_follows_a_claim_that_was_read_before(boot_clock):
+def test_a_claim_read_before_the_suspension_permits_no_order(boot_clock):
     async def scenario():
         value = engine_claims.cbor2.dumps(engine_claims.EngineClaim("agent"))
         entry = keyvalue.Entry("k", value, 5)
@@ -114,7 +114,7 @@
     assert _run(scenario()) == (5, None)
 
 
-def test_what_was_due_meanwhile_is_over_at_once(boot_clock):
+def test_timeouts_that_passed_during_the_suspension_expire_at_once(boot_clock):
     async def scenario():
         loop = asyncio.get_running_loop()
         with pytest.raises(TimeoutError):
@@ -126,7 +126,7 @@
     _run(scenario())
 
 
-def test_an_entry_that_heard_nobody_while_suspended_stands_in_for_nobody(
+def test_a_suspended_entry_does_not_treat_agents_as_absent(
     boot_clock,
 ):
     moved = []
@@ -146,13 +146,13 @@
     )
 
     async def scenario():
-        heard = asyncio.get_running_loop().time()
+        last_contact_at = asyncio.get_running_loop().time()
         orderer = _RecordingOrderer(
             "entry-1",
             directory,
             types.SimpleNamespace(wanted_by_model={"m": 2}),
             types.SimpleNamespace(has_duty=lambda domain: True),
-            lambda address: heard,
+            lambda address: last_contact_at,
             None,
             None,
             dict,
