--- a/packages/decisions/anvilwell_decisions/batches/__init__.py
+++ b/packages/decisions/anvilwell_decisions/batches/__init__.py
@@ -1,1 +1,1 @@
-"""Batches: what is listed, what runs next and where."""
+"""Decisions about batches: which items run next, and on which replicas."""
--- a/packages/decisions/anvilwell_decisions/batches/batch_state.py
+++ b/packages/decisions/anvilwell_decisions/batches/batch_state.py
@@ -1,4 +1,4 @@
-"""What has become of each item of one batch, and what is listed."""
+"""Tracks the state of each item of one batch and the results listed so far."""
 
 import collections
 import enum
@@ -8,10 +8,11 @@
 
 
 class ItemState(enum.Enum):
-    """Where an item stands.
+    """The state of an item.
 
-    The text of an ``UNSCORED`` item is whole; it is ``DONE`` and may be
-    listed once its score is there too.
+    In state ``UNSCORED`` the text is complete but its score is missing. The
+    item becomes ``DONE``, and its result may be listed, once it has the score
+    too.
     """
 
     WAITING = "waiting"
@@ -26,19 +27,19 @@
 
 
 class BatchState:
-    """One batch's items.
+    """The items of one batch, their states and the listed results.
 
-    Results are listed by whole groups: a trainer can use nothing less,
-    and a group costs one write instead of one for each item.
+    Results are listed by whole groups: a trainer can't use part of a group,
+    and a group costs one write to the store instead of one for each item.
 
     Parameters
     ----------
     submission : facts.Submission
         The batch.
     max_failures : int
-        Failed runs after which an item is given up.
+        Failed runs after which an item is abandoned.
     one_version : bool
-        Whether a text must come from one version alone.
+        Whether all events of a text must come from one model version.
     """
 
     def __init__(self, submission, max_failures, one_version=False):
@@ -61,20 +62,20 @@
 
     @property
     def total(self):
-        """How many items the batch has."""
+        """Number of items in the batch."""
         return len(self.items_by_id)
 
     @property
     def needs_no_runs(self):
-        """Whether nothing of the batch has to run any more."""
+        """Whether the batch has ended or all of its groups are listed."""
         return self.is_ended or not self._unlisted_groups
 
     def state(self, item_id):
-        """Return the item's `ItemState`."""
+        """Return the `ItemState` of an item."""
         return self._states_by_id[item_id]
 
     def restore(self, listed, saved=()):
-        """Take over what an earlier holder listed and saved."""
+        """Restore what an earlier owner of the batch listed and saved."""
         for result in listed:
             self._note_listed(result)
             self._states_by_id[result.item_id] = ItemState.DONE
@@ -95,10 +96,10 @@
             )
 
     def _state_of_complete(self, progress):
-        """Return the state of an item whose text is whole.
+        """Return the state of an item whose text is complete.
 
-        A score that an earlier batch got counts only if that asked for
-        it by the same call.
+        A score from an earlier batch counts only if it was requested by the
+        same scoring call; otherwise it is dropped.
         """
         call = self.items_by_id[progress.item_id].scoring_call
         if call is None:
@@ -109,7 +110,7 @@
         return ItemState.UNSCORED
 
     def waiting_ids(self):
-        """Return the ids of the items that should run."""
+        """Return the ids of the items that are ready to run."""
         if self.is_ended:
             return []
         return [
@@ -119,22 +120,22 @@
         ]
 
     def mark_running(self, item_id):
-        """Note that the item runs."""
+        """Record that a run of the item has started."""
         self._states_by_id[item_id] = ItemState.RUNNING
 
     def mark_stopped(self, item_id):
-        """Note that a run ended without a whole text."""
+        """Record that a run ended before the text was complete."""
         if self._states_by_id[item_id] is ItemState.RUNNING:
             self._states_by_id[item_id] = ItemState.WAITING
 
     def mark_text_complete(self, item_id):
-        """Note that the item's text is whole; it may lack its score."""
+        """Record that the text is complete; its score may be missing."""
         progress = self.progress_by_id[item_id]
         progress.complete()
         self._states_by_id[item_id] = self._state_of_complete(progress)
 
     def unscored_ids(self):
-        """Return the ids of items to be scored, almost whole groups first.
+        """Return the ids of the items to score, nearly finished groups first.
 
         A group is listed only once its last item is scored.
         """
@@ -156,15 +157,16 @@
         )
 
     def mark_scoring(self, item_id):
-        """Note that the item's scoring call is under way."""
+        """Record that the item's scoring call has started."""
         self._states_by_id[item_id] = ItemState.SCORING
 
     def mark_not_scored(self, item_id, failures=0, max_failures=0):
-        """Note that a scoring call brought no score.
+        """Record that a scoring call returned no score.
 
-        ``failures`` of its attempts were failed by the scorer itself; the
-        item is given up after ``max_failures`` of those. Refusals and lost
-        answers say nothing about the item.
+        ``failures`` counts its attempts that failed in the scorer itself; the
+        item is abandoned after ``max_failures`` of these in total. Refused
+        calls and lost responses are not counted, since they say nothing about
+        the item.
         """
         if self._states_by_id[item_id] is not ItemState.SCORING:
             return
@@ -176,7 +178,7 @@
         )
 
     def mark_scored(self, item_id, seal):
-        """Note the seal of the scorer's answer; the item is done."""
+        """Record the seal of the scorer's response; the item is done."""
         if self._states_by_id[item_id] is not ItemState.SCORING:
             return
         call = self.items_by_id[item_id].scoring_call
@@ -185,7 +187,7 @@
         self._states_by_id[item_id] = ItemState.DONE
 
     def count_failure(self, item_id):
-        """Count a failed run; give the item up after too many."""
+        """Count a failed run; abandon the item after too many."""
         progress = self.progress_by_id[item_id]
         progress.failures += 1
         if progress.failures >= self._max_failures:
@@ -194,21 +196,21 @@
             self.mark_stopped(item_id)
 
     def abandon(self, item_id):
-        """Note that the item can't be done."""
+        """Record that the item can't be completed."""
         self._states_by_id[item_id] = ItemState.ABANDONED
 
     def abandon_rest(self):
-        """Give up all items that are neither done nor given up."""
+        """Abandon all items that are neither done nor abandoned."""
         for item_id, state in self._states_by_id.items():
             if state not in _ENDED:
                 self._states_by_id[item_id] = ItemState.ABANDONED
 
     def mark_ended(self):
-        """Note that the trainer wants no more."""
+        """Record that the trainer ended the batch."""
         self.is_ended = True
 
     def listable_results(self):
-        """Return the results of whole groups that are not listed yet."""
+        """Return the results of finished groups that are not listed yet."""
         if self.is_ended:
             return []
         return [
@@ -221,19 +223,19 @@
 
     @property
     def has_enough_groups(self):
-        """Whether as many groups are whole as the trainer waits for."""
+        """Whether as many groups are finished as the trainer waits for."""
         total = len(self._members_by_group)
         whole = sum(map(self._is_whole, self._unlisted_groups))
         listed = total - len(self._unlisted_groups)
         return listed + whole >= (self.submission.wanted_groups or total)
 
     def mark_listed(self, results):
-        """Note that `results` stand at the next positions for good."""
+        """Record that `results` are stored at the next positions."""
         for result in results:
             self._note_listed(result)
 
     def unlisted_progress(self):
-        """Return the `Progress` of each unlisted item that has any."""
+        """Return the `Progress` of each unlisted item that has events."""
         return [
             progress
             for item_id, progress in self.progress_by_id.items()
--- a/packages/decisions/anvilwell_decisions/batches/dispatch.py
+++ b/packages/decisions/anvilwell_decisions/batches/dispatch.py
@@ -1,4 +1,4 @@
-"""Which waiting item runs next, and at which replica."""
+"""Chooses which waiting item runs next, and on which replica."""
 
 import collections
 import heapq
@@ -12,30 +12,34 @@
 from anvilwell_decisions.batches import workers
 from anvilwell_decisions.traffic import facts
 
-# A replica that refused an item gets no other for so long. Engines that
-# load weights refuse for about a second.
+# Pause in seconds before another item is sent to a replica that refused one.
+# Engines that load weights refuse for about a second.
 REFUSED_PAUSE_S = 0.15
-# A replica that broke a run gets none for so long: it goes on elsewhere
-# if it can, and one bad answer in fifty is no reason to leave a replica.
+# Pause in seconds after a run broke off. The run is resumed at another replica
+# if possible; one bad response in fifty is no reason to avoid a replica for
+# longer.
 BROKEN_PAUSE_S = 0.1
-# A replica that can't be reached or fell silent gets none for so long.
+# Pause in seconds for a replica that can't be reached or stopped responding.
 SILENT_PAUSE_S = 1.0
-# Paces within a sixth of each other count as even; replicas of one
-# service differ by about a third, slow ones by a factor of three.
+# Expected times are compared in steps of a sixth of the shortest one and count
+# as equal within a step. Replicas of one service differ by about a third, slow
+# ones by a factor of three.
 PACE_STEPS = 6
-# An item looks at the memory of so many replicas, the best by time and load.
+# Number of replicas, the best by expected time and load, whose memory is
+# compared for an item.
 MEMORY_CANDIDATES = 8
-# An item waits for a place that frees soon if its text ends so much sooner
-# than at a place that is free; when that is, is an estimate.
+# An item waits for a busy replica only if that completes its text at least
+# this many seconds earlier than a free one, because the time at which a slot
+# frees up is an estimate.
 MIN_WAIT_GAIN_S = 0.2
 
 
 class WaitingItem(typing.NamedTuple):
-    """A waiting item; lower ``rank`` goes first.
+    """An item that waits for a replica; a lower ``rank`` goes first.
 
     Items with the same ``kind`` have similar lengths. ``expected_tokens`` is
-    the caller's estimate of the length, 0 if it gave none; ``events_made`` is
-    how many events its text already has from earlier runs.
+    the caller's estimate of the length, 0 if it gave none. ``events_made`` is
+    the number of events that the text already has from earlier runs.
     """
 
     rank: tuple
@@ -52,9 +56,11 @@
 
 
 class Run(typing.NamedTuple):
-    """A run under way; ``events`` is what the item's text has by now.
+    """A run in progress.
 
-    ``moved`` counts how often the item was moved before.
+    ``events`` is the number of events that the item's text has by now,
+    including those of earlier runs; ``earlier_moves`` counts how often the
+    item has been moved to another replica.
     """
 
     batch_id: str
@@ -71,12 +77,13 @@
 
 
 class Dispatcher:
-    """Chooses replicas for the items of one holder's batches."""
+    """Assigns the items of the batches that one entry owns to replicas."""
 
     def __init__(self):
         self._workers_by_id = {}
         self._shortlists = shortlists.Shortlists()
-        # Workers with runs at the last look; each run names its own.
+        # Workers with runs at the last call of `set_runs`; a worker is listed
+        # once for each of its runs.
         self._busy_workers = []
         self._tokens_by_service = {}
         self._slowdowns_by_service = collections.defaultdict(paces.Slowdowns)
@@ -88,7 +95,7 @@
         return self._workers_by_id.get(replica_id)
 
     def set_replicas(self, replicas):
-        """Take the replicas that may be used now."""
+        """Replace the set of usable replicas; state of known ones is kept."""
         known = self._workers_by_id
         self._workers_by_id = {
             replica.replica_id: self._updated_worker(
@@ -99,7 +106,7 @@
         self._shortlists.set_candidates(self._workers_by_id.values())
 
     def update_replica(self, replica_id, replica):
-        """Take what one replica is now, None if it may not be used."""
+        """Update one replica, or drop it if `replica` is None."""
         worker = self._workers_by_id.get(replica_id)
         if replica is None:
             self._workers_by_id.pop(replica_id, None)
@@ -113,7 +120,7 @@
             self._shortlists.clear()
 
     def set_limits(self, limit_of):
-        """Take how many places ``limit_of(replica)`` may be used."""
+        """Limit the slots used at each replica to ``limit_of(replica)``."""
         for worker in self._workers_by_id.values():
             worker.limit = limit_of(worker.replica)
         self._shortlists.clear()
@@ -137,15 +144,14 @@
         return worker
 
     def set_runs(self, runs, tokens_by_service, now):
-        """Take the `Run`s under way, and what each engine can hold.
+        """Recompute the load of the replicas from the runs in progress.
 
         Parameters
         ----------
         runs : iterable of Run
-            All of this holder.
+            All runs of this entry.
         tokens_by_service : dict
-            The memory of one engine of a service, in tokens; 0 if it is
-            not known.
+            Memory of one engine of a service, in tokens; 0 if unknown.
         now : float
             Monotonic time in seconds.
         """
@@ -171,11 +177,11 @@
             heapq.heapify(worker.run_ends_s)
 
     def choose_moves(self, runs, now):
-        """Return the `moves.Move`s to be made now; ``runs`` may move."""
+        """Return the `moves.Move`s to make now; all ``runs`` may move."""
         return self.move_selector.choose(runs, self._workers_by_id, now)
 
     def record_assignment(self, work, replica_id):
-        """Note that a `WaitingItem` was given to a replica."""
+        """Record that a `WaitingItem` was assigned to a replica."""
         worker = self._workers_by_id[replica_id]
         worker.running += 1
         left = self.lengths.remaining_events(
@@ -191,11 +197,12 @@
         return memory.memory_demand(one.prompt, tokens, events_made, left)
 
     def choose_replica(self, work, now):
-        """Return the replica's id for one `WaitingItem`, or None for now.
+        """Return the id of the replica for a `WaitingItem`, or None for now.
 
-        Work comes with the longest items first, so these get the fast
-        replicas, and the short ones what is left. A long one rather waits
-        for a place at a fast replica than to take a free one at a slow one.
+        Callers pass the longest items first, so that these get the fast
+        replicas and short items get the rest. A long item may be made to wait
+        for a slot of a fast replica instead of taking a free slot of a slow
+        one.
         """
         able = self._shortlists.find(
             work.service,
@@ -232,9 +239,10 @@
         return best.name
 
     def _should_wait(self, work, events, expected_s, now):
-        """Return whether an item should wait for a place that frees soon.
+        """Return whether an item should wait for a slot that frees up soon.
 
-        If so it takes that place from what waits behind it.
+        If so, the slot is reserved, so that items considered later don't wait
+        for the same one.
         """
         full = [
             worker
@@ -261,14 +269,14 @@
 
 
 def _pace_step(expected_s, shortest_s):
-    """Return how a replica's expected time compares with the least one."""
+    """Return a replica's expected time in steps of the shortest one."""
     if expected_s is None or not shortest_s:
         return PACE_STEPS
     return int(expected_s / shortest_s * PACE_STEPS)
 
 
 def _sort_key(candidates, demand):
-    """Return what a replica is chosen by; the least goes first."""
+    """Return the sort key of a candidate replica; the lowest is chosen."""
     step, load, name, _, worker = candidates
     peak_share = worker.memory.peak_share(demand)
     return (
--- a/packages/decisions/anvilwell_decisions/batches/item_order.py
+++ b/packages/decisions/anvilwell_decisions/batches/item_order.py
@@ -1,42 +1,43 @@
-"""Which batch's items go first.
+"""Orders the waiting items of all batches.
 
-Batches go in the order in which they were submitted. After an outage that
-keeps a trainer's later step waiting for an earlier one that is late
-whatever becomes of it: then new items of steps that can still be in time
-go first. What has some text goes on in any case, since it needs its place
-for the shorter time, and its step ends with it.
+Batches go in the order in which they were submitted. After an outage this
+alone would make a trainer's later step wait for an earlier one that will be
+late in any case. So new items of steps that can still be in time go before new
+items of late steps. Items that already have some text keep their turn: they
+need a slot for a shorter time, and their step ends with them.
 """
 
 import math
 
-# An item of median length takes one second, and its trainer reads each half
-# second: a step that is due sooner is taken to be late, in seconds.
+# Least time in seconds from the start of an item until its trainer has the
+# result: an item of median length takes one second, and the trainer polls
+# every half second. A step that is due sooner counts as late.
 MIN_ITEM_TIME_S = 1.5
 
 
 def too_late_at(submitted_at, due_s):
-    """Return from when on a new item of a batch comes too late.
+    """Return the time from which a new item of a batch comes too late.
 
     Parameters
     ----------
     submitted_at : float
         When the batch was submitted.
     due_s : float
-        How long after that its results are due, 0 if never.
+        How long after that its results are due, 0 if they have no due time.
     """
     return submitted_at + due_s - MIN_ITEM_TIME_S if due_s else math.inf
 
 
 def sort_key(sequence, is_late, has_text):
-    """Return what sorts an item among those of all batches.
+    """Return the key by which the items of all batches are sorted.
 
     Parameters
     ----------
     sequence : tuple
-        Sorts its batch by the time of submission.
+        Sorts the item's batch by the time of submission.
     is_late : bool
-        Whether a new item of the batch comes too late.
+        Whether a new item of the batch would come too late.
     has_text : bool
-        Whether the item has some text from before.
+        Whether the item has text from earlier runs.
     """
     return (is_late and not has_text, sequence, not has_text)
--- a/packages/decisions/anvilwell_decisions/batches/lengths.py
+++ b/packages/decisions/anvilwell_decisions/batches/lengths.py
@@ -1,23 +1,23 @@
-"""How many events a run is expected to have left."""
+"""Estimates how many events a run has left."""
 
 import bisect
 import collections
 import itertools
 
-# Lengths that are remembered of each kind of items.
+# Number of lengths remembered for each kind of items.
 MAX_LENGTHS = 512
-# With fewer lengths above what a run has made, it is expected to have as much
-# left as that: lengths have a long tail.
+# If fewer recorded lengths exceed what a run has made so far, the run is
+# expected to make as much again, since lengths have a long tail.
 MIN_LENGTHS = 8
 
 
 class LengthEstimator:
-    """Learns the lengths of items by kind, such as their route's name.
+    """Learns the lengths of items by kind, such as the name of their route.
 
-    A caller's estimate is used as a scale: lengths are kept as multiples
-    of the estimate where there is one. So an estimate that is right at the
-    median but far off elsewhere is not trusted like one that is right
-    throughout.
+    The caller's estimate of the length, if there is one, is used as a scale:
+    lengths are stored as multiples of it. The spread of these multiples shows
+    how reliable the estimates are, for instance right at the median but far
+    off elsewhere.
     """
 
     def __init__(self):
@@ -27,13 +27,13 @@
         self._tails_by_key = {}
 
     def observe(self, kind, expected_tokens, events):
-        """Take in how many events a whole text has."""
+        """Record the number of events of a complete text."""
         key, scale = _scaled(kind, expected_tokens)
         self._lengths_by_key[key].append(events / scale)
         self._tails_by_key.pop(key, None)
 
     def remaining_events(self, kind, expected_tokens, events_made):
-        """Return how many more events are expected after `events_made`."""
+        """Return how many events are expected after `events_made`."""
         key, scale = _scaled(kind, expected_tokens)
         lengths, sums = self._tails(key)
         longer = len(lengths) - bisect.bisect_right(
@@ -44,9 +44,10 @@
         return max(1.0, sums[longer] / longer * scale - events_made)
 
     def tokens_per_event(self, kind):
-        """Return the tokens of one event, 0.0 if that is not known.
+        """Return the number of tokens of one event, 0.0 if unknown.
 
-        Guesses are in tokens, and right at the median.
+        It follows from the callers' estimates, which are in tokens and right
+        at the median.
         """
         lengths, _ = self._tails((kind, True))
         if len(lengths) < MIN_LENGTHS:
@@ -54,7 +55,7 @@
         return 1.0 / lengths[len(lengths) // 2]
 
     def _tails(self, key):
-        """Return the lengths in order, and the sums of the longest ones."""
+        """Return the sorted lengths and the sums of the n longest ones."""
         if key not in self._tails_by_key:
             lengths = sorted(self._lengths_by_key.get(key, ()))
             sums = list(itertools.accumulate(reversed(lengths), initial=0.0))
@@ -63,5 +64,5 @@
 
 
 def _scaled(kind, expected_tokens):
-    """Return the key of a kind's lengths, and what they are multiples of."""
+    """Return the key under which lengths are stored, and their scale."""
     return (kind, expected_tokens > 0), max(1, expected_tokens)
--- a/packages/decisions/anvilwell_decisions/batches/loading.py
+++ b/packages/decisions/anvilwell_decisions/batches/loading.py
@@ -1,36 +1,40 @@
-"""When an engine loads a version that a trainer has named, if at all."""
+"""Decides whether and when an engine loads a version named by a trainer."""
 
 import math
 import typing
 
-# Engines that load weights take no new work for that model, and load
-# slower if more than two fifths of them load at a time. So that many load
-# together, one part of them after the other. A load takes 0.9 s.
+# Largest share of a model's engines that load at the same time, one wave after
+# the other. An engine that loads takes no new work for that model, and loads
+# get slower if more than two fifths of the engines load at once.
 MAX_LOADING_SHARE = 0.4
+# Time between two waves, in seconds; a load takes 0.9 s.
 LOAD_WAVE_S = 1.0
-# Trainers submit a step as they name a version. Its items start on the
-# version before, which they may, and go on while the weights load; an
-# engine that loads first keeps them waiting for a second.
+# Delay before the first load, in seconds. Trainers submit a step as they name
+# its version. Its items may start on the previous version, and continue while
+# the weights are loaded; an engine that loaded at once would keep them waiting
+# for a second.
 FIRST_LOAD_DELAY_S = 0.3
-# With fewer engines for each version that is skipped, those that load at
-# the same moment leave too few for the first items of a step.
+# Engines take turns only if there are at least this many for each version of a
+# period. With fewer, those that load at the same moment leave too few for the
+# first items of a step.
 MIN_ENGINES_PER_VERSION = 2
-# An engine keeps as few models at their newest versions as leaves so many
-# engines for each: enough must be left when some are lost, and two must be
-# able to take turns with two. An engine carries out one order at a time; if
-# all of nineteen keep four models that are named every four seconds, each
-# loads almost half of the time, and the first item of a step may wait two
-# seconds for that.
+# Each model is loaded by at least this many engines: enough must be left when
+# some are lost, and two must be able to take turns with two. An engine loads
+# as few models as this allows because it carries out one order at a time: if
+# all of nineteen engines load four models that get a version every four
+# seconds, each loads almost half of the time, and the first item of a step may
+# wait two seconds for that.
 MIN_ENGINES_PER_MODEL = 4
-# And it keeps so many at least: trainers do not need equal parts, and with
-# one model an engine those with more items would have too few of them.
+# Each engine loads at least this many models. Trainers need unequal shares of
+# the engines; with one model an engine, trainers with more items would have
+# too few engines.
 MIN_MODELS_PER_ENGINE = 2
 
 
 class LoadPosition(typing.NamedTuple):
-    """Where an engine stands among those of its service.
+    """The rank of an engine among those that load a model's versions.
 
-    Any order will do that all of them see alike.
+    Any order will do as long as all engines compute the same one.
     """
 
     rank: int
@@ -38,7 +42,7 @@
 
 
 def load_position(address, model, models, addresses):
-    """Return an engine's `LoadPosition` for one model.
+    """Return the engine's `LoadPosition` for one model.
 
     Parameters
     ----------
@@ -47,14 +51,14 @@
     model : str
         The model.
     models : iterable of str
-        All models whose versions the service's engines are to have.
+        All models whose versions engines of the service load.
     addresses : iterable
-        All engines of the service, as far as they are known.
+        All known engines of the service.
 
     Returns
     -------
-    Place or None
-        None if others keep the model.
+    LoadPosition or None
+        None if the model is assigned to other engines only.
     """
     ordered = sorted(str(one) for one in addresses)
     own_address = str(address)
@@ -69,7 +73,7 @@
 
 
 def _assigned_engines(model, models, engines):
-    """Return which of the engines keep a model; all if they are few."""
+    """Return the engines that load a model's versions; all if they are few."""
     if model not in models:
         return engines
     needed = math.ceil(len(models) * MIN_ENGINES_PER_MODEL / len(engines))
@@ -85,21 +89,21 @@
 def load_delay_s(current, wanted, lag, position):
     """Return how long the engine waits before it loads, None to skip.
 
+    An engine that was loaded for one step also serves the ``lag`` steps after
+    it. So each engine loads only every ``lag + 1`` versions and the engines
+    take turns, since a load costs 0.9 s without new work.
+
     Parameters
     ----------
-    had : int
-        The version that it has.
+    current : int
+        The version that the engine has.
     wanted : int
-        The version that was just named.
+        The version that the trainer has just named.
     lag : int or None
-        How many versions behind the newest one the items of the trainer's
-        steps may be made; None if that is not known.
-    place : Place or None
-        Which engine it is, None for one that does not keep the model.
-
-    An engine that was loaded for one step also serves the ``lag`` steps
-    after it. So each loads every ``lag + 1`` versions only, and the
-    engines take turns: a load costs 0.9 s without new work.
+        How many versions behind the newest one the items of a trainer's steps
+        may be made; None if unknown.
+    position : LoadPosition or None
+        Position of the engine, None if it isn't assigned to the model.
     """
     if position is None:
         return None
@@ -108,7 +112,7 @@
         wave_size = max(1, int(MAX_LOADING_SHARE * position.replicas))
         return FIRST_LOAD_DELAY_S + LOAD_WAVE_S * (position.rank // wave_size)
     if current < wanted - lag:
-        # Useless until it has loaded.
+        # The engine can't serve the trainer's steps until it has loaded.
         return 0.0
     is_own_turn = (position.rank + wanted) % period == 0
     return FIRST_LOAD_DELAY_S if is_own_turn else None
--- a/packages/decisions/anvilwell_decisions/batches/memory.py
+++ b/packages/decisions/anvilwell_decisions/batches/memory.py
@@ -1,23 +1,24 @@
-"""What an engine's memory holds of our runs, and will hold."""
+"""Estimates how much of an engine's memory the runs of this entry use."""
 
 import bisect
 import typing
 
-# Share of an engine's memory that the runs placed there may come to at
-# their expected peak. An engine that runs out of memory reads its newest
-# request again, and that is late; half of all lengths are longer than
-# expected.
+# Largest share of an engine's memory that the runs assigned to it may need at
+# their expected peak. An engine that runs out of memory preempts its newest
+# request and reads its prompt again, which delays it; and half of all lengths
+# exceed the expected one.
 MAX_PEAK_SHARE = 0.95
-# From this share on what is held now is short of the whole: a run makes
-# some three hundredths of an engine's memory in a look at all of them.
+# Memory counts as nearly full from this share on. A run takes about three
+# hundredths of an engine's memory between two checks of all runs.
 NEARLY_FULL_SHARE = 0.9
 
 
 class MemoryDemand(typing.NamedTuple):
-    """What one run holds ``now``, and what of its text is ``left``.
+    """Memory that a run holds now and that its text is still to take.
 
-    In tokens. ``shared`` of its prompt are those of all runs with the same
-    ``shared_id``, are held once, and aren't part of ``now``.
+    All numbers are in tokens. ``shared`` tokens of the prompt are common to
+    all runs with the same ``shared_id``. They are held once for all of these,
+    and are not part of ``held``.
     """
 
     held: float
@@ -32,11 +33,11 @@
     Parameters
     ----------
     prompt : facts.Prompt
-        What the item says of its prompt.
+        Size of the item's prompt.
     tokens_per_event : float
-        As far as it is known, else 0.0.
-    made, left : float
-        Events that the text has, and that are expected to come.
+        Tokens of one event, 0.0 if unknown.
+    events_made, remaining_events : float
+        Events that the text has, and that are still expected.
     """
     own = prompt.tokens - prompt.shared_tokens
     return MemoryDemand(
@@ -48,13 +49,12 @@
 
 
 class EngineMemory:
-    """What the runs at one engine come to.
+    """The memory demand of the runs at one engine.
 
     Parameters
     ----------
     total : int
-        The engine's memory in tokens, 0 if it is not known: then any run
-        fits.
+        Memory of the engine in tokens. If it is 0 (unknown), any run fits.
     """
 
     def __init__(self, total):
@@ -63,27 +63,27 @@
         self._shared_by_id = {}
 
     def add(self, demand):
-        """Take in the `MemoryDemand` of a run."""
+        """Add the `MemoryDemand` of a run."""
         bisect.insort(self._runs, demand, key=_remaining)
         if demand.shared_id:
             self._shared_by_id[demand.shared_id] = demand.shared
 
     @property
     def is_nearly_full(self):
-        """Whether the runs here are about to need more than there is."""
+        """Whether the runs are about to need more memory than there is."""
         held = sum(demand.held for demand in self._runs)
         held += sum(self._shared_by_id.values())
         return 0 < NEARLY_FULL_SHARE * self._total < held
 
     def has_shared_prompt(self, shared_id):
-        """Return whether runs here have the shared part of a prompt."""
+        """Return whether a run here holds this shared part of a prompt."""
         return shared_id in self._shared_by_id
 
     def peak_share(self, demand):
-        """Return the share of the memory at the peak with one more run.
+        """Return the share of the memory used at the peak with one more run.
 
-        All texts grow alike, and a run's memory is free at its end; so
-        there is a peak at the end of each.
+        All texts grow at the same rate, and a run frees its memory when it
+        ends; so the use has a local peak at the end of each run.
         """
         if not self._total:
             return 0.0
@@ -102,7 +102,7 @@
         return (peak + sum(shared.values())) / self._total
 
     def fits(self, demand):
-        """Return whether one more run keeps the margin."""
+        """Return whether the peak with one more run stays below the limit."""
         return self.peak_share(demand) <= MAX_PEAK_SHARE
 
 
--- a/packages/decisions/anvilwell_decisions/batches/move_selection.py
+++ b/packages/decisions/anvilwell_decisions/batches/move_selection.py
@@ -1,4 +1,4 @@
-"""Chooses the runs that go on at another replica."""
+"""Chooses the runs that are moved to another replica."""
 
 import heapq
 
@@ -6,18 +6,18 @@
 from anvilwell_decisions.batches import moves
 from anvilwell_decisions.batches import workers
 
-# A run that may move is compared with so many replicas that have a free
-# slot, the fastest ones; more differ too little to look at each time.
+# Number of replicas with a free slot, the fastest ones, that are compared for
+# a run; the gain from comparing more isn't worth the time.
 MAX_TARGETS = 8
 
 
 class MoveSelector:
-    """Chooses among the runs of one holder's batches.
+    """Chooses among the runs of the batches that one entry owns.
 
     Parameters
     ----------
     lengths : lengths.LengthEstimator
-        What runs have left.
+        Estimates how many events a run has left.
     """
 
     def __init__(self, lengths):
@@ -25,14 +25,14 @@
         self.budget = moves.MoveBudget()
 
     def choose(self, runs, workers_by_id, now):
-        """Return the `moves.Move`s to be made now.
+        """Return the `moves.Move`s to make now.
 
         Parameters
         ----------
         runs : list of dispatch.Run
-            Those that may go on elsewhere.
+            Runs that may be moved.
         workers_by_id : dict
-            The `workers.Worker`s, their memory as of now.
+            The `workers.Worker`s, with their memory demand as of now.
         now : float
             Monotonic time in seconds.
         """
@@ -45,7 +45,7 @@
 
 
 class _Selection:
-    """One look at all runs."""
+    """One selection among all runs; it counts the slots that it gives away."""
 
     def __init__(self, lengths, budget, workers_by_id, now):
         self._lengths = lengths
@@ -56,10 +56,10 @@
         self._free_slots_by_id = {}
 
     def moves(self, runs):
-        """Return the moves that find a place and are in the budget.
+        """Return the moves that find a free slot and are within the budget.
 
-        Those that an engine's memory calls for go first, then those that
-        save most.
+        Moves that relieve an engine's memory come first, then those that save
+        most time.
         """
         reliefs = [relief for relief in self._reliefs(runs) if relief]
         moved = {relief.run for relief in reliefs}
@@ -69,17 +69,18 @@
         for move in wanted:
             if len(made) == self._budget.available:
                 break
-            # Places went to the moves before.
+            # Earlier moves may have taken the slot.
             again = self._gain(move.run, is_made=True)
             if again is not None:
                 made.append(again)
         return made
 
     def _reliefs(self, runs):
-        """Yield a `moves.Move` for each engine whose memory is short.
+        """Yield a `moves.Move`, or None, for each engine short of memory.
 
-        The run with most to come goes, so that no other has to soon; one
-        that moved before stays, as what waits may take its place again.
+        The run with most events left is moved, so that no other has to be
+        moved soon. A run that was moved before stays, because a waiting item
+        may take the freed slot and fill the memory again.
         """
         for replica_id, worker in self._workers_by_id.items():
             if not worker.memory.is_nearly_full:
@@ -114,7 +115,7 @@
         return self._move(run, left, stay_s, stay_s - go_s, moves.Cause.MEMORY)
 
     def _gain(self, run, is_made=False):
-        """Return the best `moves.Move` of a run for its time, or None."""
+        """Return the `moves.Move` that saves a run most time, or None."""
         worker = self._workers_by_id.get(run.replica_id)
         if worker is None:
             return None
--- a/packages/decisions/anvilwell_decisions/batches/moves.py
+++ b/packages/decisions/anvilwell_decisions/batches/moves.py
@@ -1,44 +1,45 @@
-"""Which runs go on at another replica, for what gain, on what budget."""
+"""Decides whether moving a run to another replica pays, within a budget."""
 
 import collections
 import enum
 import typing
 
-# The run is cut, its prompt is read again, and its text waits for the
-# first event there.
+# Cost of a move in seconds: the run is interrupted, its prompt is read again,
+# and its text waits for the first event from the other replica.
 MOVE_COST_S = 0.1
-# A move saves so much beyond its cost, and twice as much for each time
-# that the item has moved before: estimates that were wrong once are
-# believed less.
+# A move has to save this much beyond its cost, in seconds, and twice as much
+# for each earlier move of the item: estimates that were wrong once are trusted
+# less.
 MIN_GAIN_S = 0.2
-# And it takes so many times less time than to stay, as replicas differ by
-# a little with the load.
+# Staying has to take at least this many times as long as moving, since the
+# paces of replicas differ a little with their load.
 MIN_TIME_RATIO = 1.1
-# Runs that may be moved for each run that starts: callers pay for the
-# places and prompts of all second runs.
+# Moves allowed for each run that starts. Callers pay for the slots and the
+# prompts of all repeated runs.
 MOVES_PER_RUN = 0.06
-# Moves that may be saved up, for the runs of half a dozen replicas that
-# turn slow at once.
+# Upper limit of the budget, enough for the runs of half a dozen replicas that
+# become slow at once.
 MAX_SAVED_MOVES = 48.0
-# Moves that a new holder begins with.
+# Budget of a new owner of batches.
 INITIAL_SAVED_MOVES = 24.0
-# Items that moved and are not whole, the most that are remembered; those
-# of ended batches never become whole.
+# Largest number of moved, incomplete items that are remembered. Items of ended
+# batches never become complete, so the oldest are dropped.
 MAX_TRACKED_ITEMS = 4096
 
 
 class Cause(enum.StrEnum):
-    """Why a run goes on elsewhere."""
+    """Why a run is moved to another replica."""
 
     FASTER = "a faster replica is free"
     MEMORY = "its replica's memory runs short"
 
 
 class Move(typing.NamedTuple):
-    """A `dispatch.Run` that should go on elsewhere, and what that saves.
+    """A `dispatch.Run` to move, and the time that this saves.
 
-    It has ``left`` events, and would take ``stay_s`` for them; its prompt
-    and text, ``tokens`` as far as known, are read again.
+    The run still has ``remaining_events``, which would take ``stay_s`` at its
+    present replica. The other replica reads its prompt and text, ``tokens`` as
+    far as known, again.
     """
 
     run: typing.Any
@@ -50,18 +51,19 @@
 
 
 def gain_s(stay_s, go_s, earlier_moves=0, min_gain_s=MIN_GAIN_S):
-    """Return what a move saves, 0.0 if that is not worth it.
+    """Return the time that a move saves, 0.0 if it isn't worthwhile.
 
     Parameters
     ----------
     stay_s : float
-        Expected time of what is left where the run is, in seconds.
+        Expected time for the rest of the run at its present replica, in
+        seconds.
     go_s : float
-        The same at the other replica, without the move itself.
+        The same at the other replica, without the cost of the move.
     earlier_moves : int
-        How often the item has moved before.
+        How often the item has been moved before.
     min_gain_s : float
-        What it has to save, see `MoveBudget`.
+        Least time that a first move has to save, see `MoveBudget`.
     """
     saved_s = stay_s - go_s - MOVE_COST_S
     is_worthwhile = saved_s > min_gain_s * 2**earlier_moves
@@ -69,12 +71,12 @@
 
 
 class MoveBudget:
-    """How many runs may move now.
+    """Limits the number of moves.
 
     Parameters
     ----------
     moves_per_run : float
-        Moves for each run that starts.
+        Moves allowed for each run that starts.
     """
 
     def __init__(self, moves_per_run=MOVES_PER_RUN):
@@ -83,25 +85,28 @@
 
     @property
     def available(self):
-        """How many runs may move now."""
+        """Number of moves that may be made now."""
         return int(self._saved)
 
     @property
     def min_gain_s(self):
-        """What a move has to save now; the more, the less is saved up."""
+        """Least time a move has to save; it grows as the budget shrinks."""
         return MIN_GAIN_S * MAX_SAVED_MOVES / max(1.0, self._saved)
 
     def record_start(self):
-        """Count a run that starts."""
+        """Add the share of one started run to the budget."""
         self._saved = min(MAX_SAVED_MOVES, self._saved + self._moves_per_run)
 
     def spend(self, moves):
-        """Count runs that are moved."""
+        """Take moves that are made off the budget."""
         self._saved -= moves
 
 
 class MoveSavings(typing.NamedTuple):
-    """What the moves of one item brought, against staying each time."""
+    """What all moves of one item saved, compared to never moving it.
+
+    ``tokens_again`` counts the tokens that other replicas had to read again.
+    """
 
     moves: int
     expected_s: float
@@ -112,8 +117,9 @@
 class _ItemMoves(typing.NamedTuple):
     """The moves of an item that has not ended.
 
-    ``events`` is what its text had at the first of them, ``pace_s`` how
-    long an event was to take from then on without it.
+    ``events`` is the length of its text at the first move, made at ``at``;
+    ``pace_s`` is the time that an event was expected to take from then on
+    without any move.
     """
 
     moves: int
@@ -125,13 +131,13 @@
 
 
 class MoveHistory:
-    """The moves of items that have not ended."""
+    """Remembers the moves of items that have not ended."""
 
     def __init__(self):
         self._moves_by_item = collections.OrderedDict()
 
     def record(self, move, now):
-        """Take in a `Move` that is made."""
+        """Record that a `Move` is made."""
         run = move.run
         key = (run.batch_id, run.item_id)
         known = self._moves_by_item.pop(key, None)
@@ -152,7 +158,10 @@
         return item_moves.moves if item_moves else 0
 
     def pop_savings(self, batch_id, item_id, events, now):
-        """Return the `MoveSavings` of a whole text, None if it never moved."""
+        """Forget an item whose text is complete; return its `MoveSavings`.
+
+        The result is None if the item was never moved.
+        """
         item_moves = self._moves_by_item.pop((batch_id, item_id), None)
         if item_moves is None:
             return None
--- a/packages/decisions/anvilwell_decisions/batches/paces.py
+++ b/packages/decisions/anvilwell_decisions/batches/paces.py
@@ -1,4 +1,4 @@
-"""How fast a replica makes events: what lasts and what passes."""
+"""Measures how fast a replica makes events, apart from temporary slowdowns."""
 
 import bisect
 import collections
@@ -7,49 +7,54 @@
 
 from anvilwell_decisions.requests import server_loads
 
-# The pace now is the median of so many gaps between events. A pause of
-# all runs at once, as for new weights, is few gaps and does not count.
+# The current pace is the median of this many gaps between events. A pause of
+# all runs at once, as when weights are loaded, makes only a few long gaps and
+# doesn't affect the median.
 RECENT_GAPS = 16
-# Gaps after which a pace is believed.
+# Number of gaps from which on a pace counts as known.
 MIN_GAPS = 8
-# The pace now is judged once in so many gaps, as that takes a while.
+# The current pace is computed once in this many gaps, since that takes a
+# while.
 GAPS_PER_CHECK = 4
-# The usual pace is the median of so many gaps outside of slow spells.
+# The usual pace is the median of this many gaps outside of slowdowns.
 USUAL_GAPS = 256
-# A slow spell begins above, and ends below, so many times the usual pace.
+# A slowdown begins above `SLOW_RATIO` times the usual pace and ends below
+# `RECOVERED_RATIO` times it.
 SLOW_RATIO = 1.6
 RECOVERED_RATIO = 1.3
-# A replica that tells that it is slower than this is not believed.
+# Upper limit for the slowdown that a replica reports of itself; larger values
+# are cut to it.
 MAX_CONTENTION = 10.0
-# Lengths of slow spells that a service's replicas remember.
+# Number of durations remembered for the replicas of a service.
 MAX_SLOWDOWNS = 256
-# With fewer lengths above its age, a spell is expected to last as long
-# again as it has.
+# If fewer recorded durations exceed a slowdown's age, it is expected to last
+# for as long again as it has lasted.
 MIN_SLOWDOWNS = 4
-# A spell that has just begun is expected to last so long, as little more
-# is known of it than that it outlived the gaps that showed it.
+# Least expected rest of a slowdown, in seconds. Little more is known of one
+# that has just begun than that it outlasted the gaps that revealed it.
 MIN_SLOWDOWN_S = 0.1
-# A replica whose runs made no event for so long tells nothing of when they
-# end.
+# When the runs of a replica have made no event for this long, in seconds,
+# their expected ends are not used any more.
 SILENT_S = 0.3
-# A pace that was never confirmed for so long may be another's by now.
+# A usual pace that was not confirmed for this long, in seconds, is dropped,
+# since the pace may have changed by now.
 MAX_USUAL_AGE_S = 60.0
 
 
 class Slowdowns:
-    """How long the slow spells of a service's replicas lasted."""
+    """Durations of the past slowdowns of a service's replicas."""
 
     def __init__(self):
         self._lengths = collections.deque(maxlen=MAX_SLOWDOWNS)
         self._sorted = []
 
     def record(self, length_s):
-        """Take in the length of a spell that was seen to end."""
+        """Record the duration of a slowdown whose end was observed."""
         self._lengths.append(length_s)
         self._sorted = sorted(self._lengths)
 
     def remaining_s(self, age_s):
-        """Return how much longer a spell of this age is expected to be."""
+        """Return how much longer a slowdown of this age should last."""
         first = bisect.bisect_right(self._sorted, age_s)
         longer = self._sorted[first:]
         if len(longer) < MIN_SLOWDOWNS:
@@ -58,14 +63,14 @@
 
 
 class _Gap(typing.NamedTuple):
-    """The time between two events of a run, and when it ended."""
+    """The time between two events of a run, and when the second one came."""
 
     at: float
     gap_s: float
 
 
 class _Slowdown(typing.NamedTuple):
-    """A time in which a replica is slow, as it was last seen."""
+    """A slowdown in progress, as of the time it was last observed."""
 
     began_at: float
     seen_at: float
@@ -73,15 +78,15 @@
 
 
 class Pace:
-    """The pace of one replica, in seconds for an event.
+    """The pace of one replica, in seconds per event.
 
-    It keeps apart what lasts (the ``usual`` pace) and what may pass (a
-    spell, whose length is judged by those seen so far).
+    The usual pace is kept apart from slowdowns, whose remaining time is
+    estimated from the durations of earlier ones.
 
     Parameters
     ----------
-    spells : Spells
-        Those of the replica's service.
+    slowdowns : Slowdowns
+        Durations of the slowdowns of the replica's service.
     """
 
     def __init__(self, slowdowns):
@@ -94,7 +99,7 @@
         self._slowdown = None
 
     def record_gap(self, gap_s, now):
-        """Take in the time between two events of one run."""
+        """Record the time between two events of one run."""
         if now - self._seen_at > MAX_USUAL_AGE_S:
             self._reset()
         self._forget_slowdown(now)
@@ -111,7 +116,7 @@
             self._classify(pace_s, now)
 
     def _reset(self):
-        """Forget all that is known of a replica that was idle for long."""
+        """Drop all measurements of a replica that was idle for long."""
         self._recent.clear()
         self._usual_gaps.clear()
         self._usual_s = None
@@ -119,10 +124,11 @@
         self._slowdown = None
 
     def record_load(self, load, now):
-        """Take in an `server_loads.ServerLoad` of the replica itself.
+        """Process an `observations.Observation` reported by the replica.
 
-        Contention only begins a spell before that shows: the runs' own
-        events say whether it is one, and for how long.
+        Contention only marks the beginning of a slowdown before the events
+        show it. Whether it is one, and for how long, is decided by the gaps
+        between the events.
         """
         ratio = load.contention or server_loads.NO_CONTENTION
         usual_s = self.usual_s(now)
@@ -134,7 +140,7 @@
             )
 
     def usual_s(self, now):
-        """Return the pace that lasts, or None if it is not known."""
+        """Return the pace apart from slowdowns, or None if it is unknown."""
         is_old = now - self._seen_at > MAX_USUAL_AGE_S
         if is_old or len(self._usual_gaps) < MIN_GAPS:
             return None
@@ -143,14 +149,14 @@
         return self._usual_s
 
     def is_silent(self, now):
-        """Return whether nothing came for long, or nothing is known."""
+        """Return whether no event came for long, or the pace is unknown."""
         usual_s = self.usual_s(now)
         return usual_s is None or now - self._seen_at > max(
             SILENT_S, MIN_GAPS * usual_s
         )
 
     def expected_s(self, events, now):
-        """Return how long so many events will take, None if unknown."""
+        """Return the time that so many events will take, None if unknown."""
         usual_s = self.usual_s(now)
         if usual_s is None:
             return None
@@ -165,14 +171,14 @@
         )
 
     def _classify(self, pace_s, now):
-        """Begin or end a spell, by the pace of the last gaps."""
+        """Begin, extend or end a slowdown, given the median of recent gaps."""
         usual_s = self.usual_s(now)
         if self._slowdown is None:
             if pace_s > SLOW_RATIO * usual_s:
                 self._begin_slowdown(pace_s, now)
             elif pace_s * SLOW_RATIO < usual_s:
-                # Nothing is faster than it can be: the usual pace was
-                # learnt in a spell.
+                # A replica can't be faster than at its usual pace, so that
+                # was measured during a slowdown; measure it again.
                 self._usual_gaps.clear()
                 self._usual_gaps.extend(gap.gap_s for gap in self._recent)
                 self._usual_s = None
@@ -185,7 +191,7 @@
             )
 
     def _begin_slowdown(self, pace_s, now):
-        """Begin a spell; its first gaps are taken back from the usual."""
+        """Begin a slowdown; remove its first gaps from the usual ones."""
         slow = len(self._recent) // 2 + 1
         for _ in range(min(slow, len(self._usual_gaps) - MIN_GAPS)):
             self._usual_gaps.pop()
@@ -197,9 +203,9 @@
         return self._slowdowns.remaining_s(now - self._slowdown.began_at)
 
     def _forget_slowdown(self, now):
-        """Forget a spell that nothing has shown for as long as it had left.
+        """Drop a slowdown not observed for as long as it was expected to last.
 
-        How long it lasted is not known, and it counts as no length.
+        Its duration is unknown and is not recorded.
         """
         if self._slowdown is None:
             return
--- a/packages/decisions/anvilwell_decisions/batches/progress.py
+++ b/packages/decisions/anvilwell_decisions/batches/progress.py
@@ -1,4 +1,4 @@
-"""The text of one item, over all runs that added to it."""
+"""Collects the text of one item over all runs that added to it."""
 
 import typing
 
@@ -8,11 +8,11 @@
 
 
 class EventGap(Exception):
-    """An event does not follow the last one: the run is unusable."""
+    """An event does not follow the last one, so the run is unusable."""
 
 
 class Score(typing.NamedTuple):
-    """The seal of the answer to a scoring call, and the call's id."""
+    """The seal of the response to a scoring call, and the id of the call."""
 
     call_id: str
     seal: str
@@ -29,11 +29,11 @@
 
 
 class Progress:
-    """Collects an item's events in order, each once.
+    """Collects the events of an item in order, each once.
 
-    A run that is resumed adds to what runs before it have made;
-    ``versions`` names the weights of every event in the text. A ``score``
-    is that of this very text, and goes with it.
+    A resumed run continues the text of the runs before it. ``versions`` holds
+    the model version of every event in the text. A ``score`` belongs to this
+    text and is dropped with it.
     """
 
     def __init__(self, item_id):
@@ -49,7 +49,7 @@
 
     @classmethod
     def from_saved(cls, saved):
-        """Return the progress that `saved` holds."""
+        """Return the progress that was stored as `saved`."""
         progress = cls(saved.item_id)
         progress.events = list(saved.events)
         progress.versions = list(saved.versions)
@@ -59,41 +59,44 @@
 
     @property
     def last_number(self):
-        """Number of the last event that is known; 0 for none."""
+        """Number of the last event received; 0 if there is none."""
         return len(self.events) + FIRST_EVENT_NUMBER - 1
 
     def add(self, event, version):
-        """Add the next `facts.Event`, made under `version`.
+        """Add the next `facts.Event`, made by model version `version`.
 
         Raises
         ------
-        Gap
-            If it is not the next one.
+        EventGap
+            If the event is not the next one.
         """
         if event.number != self.last_number + 1:
-            raise EventGap(f"{event.number} follows {self.last_number}")
+            raise EventGap(
+                f"event {event.number} does not follow event"
+                f" {self.last_number}"
+            )
         if version not in self.versions:
             self.versions.append(version)
         self.events.append(event.data)
 
     def complete(self):
-        """Note that the last run ended as whole."""
+        """Record that the text is complete."""
         self.is_complete = True
 
     def is_usable(self, min_version, one_version):
-        """Return whether the text may be used under these bounds."""
+        """Return whether the text's versions satisfy these bounds."""
         is_fresh = all(version >= min_version for version in self.versions)
         return is_fresh and not (one_version and len(self.versions) > 1)
 
     def restart(self):
-        """Forget the text; the item runs from its beginning."""
+        """Drop the text; the item runs from its beginning."""
         self.events = []
         self.versions = []
         self.is_complete = False
         self.score = None
 
     def save(self):
-        """Return what is stored of it."""
+        """Return the progress in the form that is stored."""
         return SavedProgress(
             self.item_id,
             tuple(self.events),
@@ -103,7 +106,7 @@
         )
 
     def result(self):
-        """Return the `facts.Result` of a whole text."""
+        """Return the `facts.Result` of a complete text."""
         return facts.Result(
             self.item_id,
             True,
--- a/packages/decisions/anvilwell_decisions/batches/scoring.py
+++ b/packages/decisions/anvilwell_decisions/batches/scoring.py
@@ -1,33 +1,35 @@
-"""How many scoring calls a service gets at once, and for how long."""
+"""Limits the scoring calls of one entry to a service, and their duration."""
 
 import collections
 
-# Share of a service's slots that the scoring calls of one entry may take.
-# Texts end in bursts of some fifty; live calls to the same service go
-# first, and find the other half free.
+# Share of a service's slots that the scoring calls of one entry may use. Texts
+# are completed in bursts of about fifty; live calls to the same service have
+# priority and find the other half free.
 SLOTS_SHARE = 0.5
-# For services that state no slots: as many as one small replica has.
+# Slots assumed for services that don't state any: those of one small replica.
 DEFAULT_SLOTS = 6
-# After a refusal half as many calls go at once, and none for so long: a
-# full replica frees a slot about every 15 ms.
+# After a refusal the limit of concurrent calls is multiplied by
+# `REFUSED_SHARE`, and no call starts for `REFUSED_PAUSE_S` seconds. A full
+# replica frees a slot about every 15 ms.
 REFUSED_SHARE = 0.5
 REFUSED_PAUSE_S = 0.1
-# Failed rounds wait twice as long each time, up to this.
+# The delay after a failed round doubles each time, up to this many seconds.
 MAX_RETRY_DELAY_S = 1.0
-# Calls whose times are remembered, about those of one step.
+# Number of call durations remembered, about those of one step.
 MAX_TIMES = 64
-# A call's limit is so many times the slowest one remembered, so that only
-# one that is lost runs into it, and at least so many target latencies.
+# The timeout of a call is this many times the slowest duration remembered, so
+# that only lost calls reach it, and at least `MIN_TARGET_LATENCIES` times the
+# target latency of the route.
 SLOWEST_FACTOR = 3.0
 MIN_TARGET_LATENCIES = 2.0
 
 
 class ScoringLimiter:
-    """What one entry believes of one scoring service.
+    """Limits the concurrent calls of one entry to one scoring service.
 
-    The number of calls at once rises by one for each round of answers and
-    is halved by a refusal, so that entries that share a service settle
-    without knowing of each other.
+    The limit rises by one for each round of answered calls and is halved by a
+    refusal. So entries that share a service settle on a share each without
+    coordinating.
     """
 
     def __init__(self):
@@ -38,7 +40,7 @@
         self._times = collections.deque(maxlen=MAX_TIMES)
 
     def set_slots(self, slots):
-        """Take how many calls all replicas of the service run at once."""
+        """Set how many calls all replicas of the service can run at once."""
         max_window = max(1.0, (slots or DEFAULT_SLOTS) * SLOTS_SHARE)
         if self._window >= self._max_window:
             self._window = max_window
@@ -50,19 +52,19 @@
         return self.running < int(self._window) and now >= self._not_before
 
     def limit_s(self, route):
-        """Return how long a call on `route` may take, in seconds."""
+        """Return the timeout of a call on `route`, in seconds."""
         slowest = SLOWEST_FACTOR * max(self._times, default=0.0)
         shortest = MIN_TARGET_LATENCIES * route.target_latency_s
         return min(route.timeout_s, max(shortest, slowest))
 
     def record_score(self, took_s):
-        """Take in the time of a call that brought a score."""
+        """Record the duration of a call that returned a score."""
         self._times.append(took_s)
         grown = self._window + 1.0 / self._window
         self._window = min(self._max_window, grown)
 
     def record_refusal(self, now):
-        """Take in that every replica turned a call away."""
+        """Record that every replica refused a call."""
         self._window = max(1.0, self._window * REFUSED_SHARE)
         self._not_before = now + REFUSED_PAUSE_S
 
--- a/packages/decisions/anvilwell_decisions/batches/shortlists.py
+++ b/packages/decisions/anvilwell_decisions/batches/shortlists.py
@@ -1,23 +1,23 @@
-"""Bounds how many replicas are compared for one item.
+"""Limits how many replicas are compared for one item.
 
-A large service has thousands of replicas that could take an item, and a
-step has thousands of items. Each is compared with a few replicas, drawn at
-random among those that could take it; of so many the best is nearly as
-good as the best of all, and items spread by themselves.
+A large service has thousands of replicas that could run an item, and a step
+has thousands of items. Each item is compared with a few replicas, drawn at
+random among those that could run it. The best of these is nearly as good as
+the best of all, and items spread evenly without further effort.
 """
 
 import collections
 import itertools
 import random
 
-# Services of up to so many replicas are compared whole.
+# Number of replicas drawn. All replicas of smaller services are compared.
 SHORTLIST_SIZE = 32
 
 
 class _Shortlist:
     """Replicas that were drawn for items with the same requirement.
 
-    ``is_complete`` tells that no others could take these items.
+    ``is_complete`` is True if no other replicas could run these items.
     """
 
     def __init__(self, candidates):
@@ -27,7 +27,7 @@
 
 
 class Shortlists:
-    """The replicas that are compared for the items of one moment."""
+    """The shortlists of one round of assignments."""
 
     def __init__(self):
         self._candidates = ()
@@ -35,27 +35,26 @@
         self._shortlists_by_requirement = {}
 
     def set_candidates(self, candidates):
-        """Take the `workers.Worker` of each replica."""
+        """Set the `workers.Worker`s of all replicas."""
         self._candidates = candidates
         self._candidates_by_service = None
         self.clear()
 
     def clear(self):
-        """Draw anew, as replicas may have become free."""
+        """Drop all shortlists, since replicas may have become free."""
         self._shortlists_by_requirement = {}
 
     def find(self, service, requirement, can_start):
-        """Return some of a service's replicas that may take an item.
+        """Return some of a service's replicas that can run an item.
 
         Parameters
         ----------
         service : str
             The service.
         requirement : tuple
-            What the item has in common with those that the same replicas
-            may take.
+            Key that is the same for all items that the same replicas can run.
         can_start : callable
-            Tells whether a replica may take it.
+            Returns whether a replica can run the item.
         """
         known = self._shortlists_by_requirement.get(requirement)
         if known is None or not known.uses_left:
@@ -82,7 +81,7 @@
         return self._shortlists_by_requirement[requirement]
 
     def _candidates_of(self, service):
-        """Return a service's replicas in an order of chance."""
+        """Return a service's replicas in random order."""
         if self._candidates_by_service is None:
             self._candidates_by_service = collections.defaultdict(list)
             for one in self._candidates:
--- a/packages/decisions/anvilwell_decisions/batches/slots.py
+++ b/packages/decisions/anvilwell_decisions/batches/slots.py
@@ -1,12 +1,12 @@
-"""Which places at a service's replicas each of its homes may use.
-
-A service whose batches are more than one VM can run has several homes,
-each for some of its models. If each counted all places as its own, replicas
-would be filled several times over. So every replica is dealt to one home,
-alike at all that know the same homes, and a home whose own places are taken
-borrows some of another that has no items waiting. Loans are for moments:
-the borrower names again and again what it uses, and what it does not name
-is the lender's again.
+"""Decides which slots of a service's replicas each of its homes may use.
+
+A service whose batches exceed the capacity of one VM has several homes, each
+for some of its models. If every home used all slots, replicas would be
+overloaded several times. So every replica is assigned to one home, its owner;
+all that know the same homes compute the same owner. A home whose own slots are
+taken borrows slots from a home without waiting items. Loans are short: the
+borrower repeatedly reports which slots it uses, and the lender may use all
+others again.
 """
 
 import collections
@@ -15,18 +15,18 @@
 
 from anvilwell_decisions.duties import rendezvous
 
-# Items that one core runs at once, with some 26 events a second each.
+# Items that one core can run at once, at about 26 events a second each.
 ITEMS_PER_CORE = 1000
-# An entry is one thread.
+# An entry runs on one thread, so more cores don't help.
 MAX_CORES = 1.0
-# Items that a link of one Mbit/s carries: each text comes from a replica,
-# goes to the store and is read by its trainer.
+# Items that a link can carry for each Mbit/s: each text comes from a replica,
+# is written to the store and is read by its trainer.
 ITEMS_PER_MBPS = 12
-# A loan that its borrower has not named for so long has ended, in seconds.
-# It outlasts four questions that were lost.
+# A loan ends when its borrower hasn't reported for this long, in seconds. It
+# outlasts four lost requests.
 LOAN_S = 1.0
-# A home lends at most so much of its own places, so that a batch that comes
-# to it starts at once on the rest.
+# Largest share of its own slots that a home lends, so that a batch that is
+# submitted to it can start at once on the rest.
 LENT_SHARE = 0.5
 
 
@@ -36,9 +36,9 @@
     Parameters
     ----------
     cores : float
-        What it can process.
+        Cores that it may use.
     link_mbps : float
-        What its link carries, in Mbit/s; 0 if that is not known.
+        Bandwidth of its link, in Mbit/s; 0 if unknown.
     """
     by_link = link_mbps * ITEMS_PER_MBPS if link_mbps else math.inf
     return min(min(cores, MAX_CORES) * ITEMS_PER_CORE, by_link)
@@ -51,10 +51,10 @@
     ----------
     items : int
         Items that may run at once.
-    carried_items : float
+    home_capacity : float
         Items that one home can run at once.
     models : int
-        Its models: the batches of one are not split.
+        Number of models; the batches of one model are not split.
     """
     if not home_capacity:
         return 1
@@ -62,10 +62,10 @@
 
 
 class SlotRequest(typing.NamedTuple):
-    """What a borrower tells a lender of a service's places.
+    """What a borrower requests of a lender for one service.
 
-    ``using_by_replica`` is how many it uses of the lender's, ``wanted``
-    how many more it could use.
+    ``using_by_replica`` is the number of the lender's slots that it uses,
+    ``wanted`` how many more it could use.
     """
 
     service: str
@@ -75,19 +75,19 @@
 
 
 class _Loan(typing.NamedTuple):
-    """Places of replicas, and until when they are lent."""
+    """Lent slots by replica, and the time at which the loan ends."""
 
     counts_by_replica: dict[str, int]
     until: float
 
 
 class HomeSlots:
-    """The places of one service that one home may use.
+    """The slots of one service that one home may use.
 
     Parameters
     ----------
     vm_id : str
-        The home's VM.
+        VM of the home.
     """
 
     def __init__(self, vm_id):
@@ -99,13 +99,13 @@
 
     @property
     def lenders(self):
-        """The other homes, () if there are not several."""
+        """The other homes, () if there is only one home."""
         if len(self._homes) < 2:
             return ()
         return tuple(one for one in self._homes if one != self._vm_id)
 
     def set_homes(self, homes):
-        """Take the service's homes as they are now."""
+        """Set the service's homes; a change drops all loans."""
         if homes == self._homes:
             return
         self._homes = homes
@@ -114,7 +114,7 @@
         self._borrowed_by_lender = {}
 
     def owner(self, replica_id):
-        """Return the home that a replica is dealt to."""
+        """Return the home that a replica is assigned to."""
         owner = self._owners_by_replica.get(replica_id)
         if owner is None:
             owner = rendezvous.choose_vm(
@@ -126,8 +126,9 @@
     def limit(self, replica_id, slots, now):
         """Return how many of a replica's slots may be used.
 
-        All, if this VM is the only home, or none: then it has been one, or
-        the home of what it runs could not be reached.
+        These are all slots if this VM is the only home, or no home at all; in
+        the latter case it was one before, or could not reach the home of the
+        items that it runs.
         """
         if len(self._homes) < 2 or self._vm_id not in self._homes:
             return slots
@@ -147,16 +148,16 @@
         )
 
     def lend(self, request, slots, free_slots_by_replica, now):
-        """Return what is lent from now on, as counts by replica.
+        """Return the slots that are lent from now on, as counts by replica.
 
         Parameters
         ----------
-        ask : Ask
-            What the borrower tells.
+        request : SlotRequest
+            What the borrower requests.
         slots : int
-            All places that are this home's own.
-        rooms_by_replica : dict
-            Free places of its own replicas; none while its own items wait.
+            Number of all slots that this home owns.
+        free_slots_by_replica : dict
+            Free slots of its own replicas; empty while its own items wait.
         now : float
             Time, in seconds.
         """
@@ -174,7 +175,7 @@
             free_slots_by_replica.items(), key=lambda one: -one[1]
         )
         for replica_id, free_slots in by_free_slots:
-            # The rooms are without what was lent until now.
+            # The free slots don't include those lent until now.
             count = max(
                 0, min(free_slots + freed_by_replica[replica_id], available)
             )
@@ -188,21 +189,25 @@
         return counts_by_replica
 
     def lent_count(self, now):
-        """Return how many places are lent."""
+        """Return the number of slots that are lent."""
         return _slot_count(self._lent_by_borrower.values(), now)
 
     def borrowed_count(self, now):
-        """Return how many places are borrowed."""
+        """Return the number of slots that are borrowed."""
         return _slot_count(self._borrowed_by_lender.values(), now)
 
     def record_request(self, lender, using_by_replica, now):
-        """Use no more of a lender's than is named, until it answers."""
+        """Record that a request is sent to a lender.
+
+        Until it answers, only the slots that the request reports as used may
+        be used.
+        """
         self._borrowed_by_lender[lender] = _Loan(
             dict(using_by_replica), now + LOAN_S
         )
 
     def record_loan(self, lender, counts_by_replica, asked_at):
-        """Take a lender's answer to what was asked then."""
+        """Record a lender's answer to the request sent at `asked_at`."""
         self._borrowed_by_lender[lender] = _Loan(
             counts_by_replica, asked_at + LOAN_S
         )
--- a/packages/decisions/anvilwell_decisions/batches/workers.py
+++ b/packages/decisions/anvilwell_decisions/batches/workers.py
@@ -1,16 +1,16 @@
-"""What a holder of batches knows of each replica."""
+"""Keeps what an owner of batches has recorded about each replica."""
 
 from anvilwell_decisions.batches import memory
 from anvilwell_decisions.batches import paces
 
 
 class Worker:
-    """What is known of one replica."""
+    """The state of one replica, as recorded by an owner of batches."""
 
     def __init__(self, replica, slowdowns):
         self.replica = replica
         self.running = 0
-        # Places that may be used here; None for all.
+        # Number of slots that may be used here; None for all.
         self.limit = None
         self.clear_runs({})
         self.not_before = 0.0
@@ -19,41 +19,47 @@
         self.update_versions(replica.versions)
 
     def clear_runs(self, tokens_by_service):
-        """Forget what the runs here hold and when they are to end."""
+        """Clear the memory demand and the expected ends of the runs here."""
         total = tokens_by_service.get(self.replica.service, 0)
         self.memory = memory.EngineMemory(total)
-        # Seconds until each of our runs here is expected to end, a heap.
+        # Seconds until each of this entry's runs is expected to end, a heap.
         self.run_ends_s = []
 
     @property
     def name(self):
-        """The replica's id."""
+        """The id of the replica."""
         return self.replica.replica_id
 
     @property
     def load(self):
-        """Share of the slots that our own runs take."""
+        """Share of the slots that this entry's runs use."""
         return self.running / max(1, self.replica.slots)
 
     def round_down_to_slots(self, share):
-        """Return a share of something, down to whole slots."""
+        """Round a share of the replica down to whole slots."""
         slots = max(1, self.replica.slots)
         return int(share * slots) / slots
 
     @property
     def free_slots(self):
-        """How many more items would start at once."""
+        """Number of items that would start at once."""
         slots = max(1, self.replica.slots)
         return (slots if self.limit is None else self.limit) - self.running
 
     def update_versions(self, versions):
-        """Take in `facts.ModelVersion`s; they only rise."""
+        """Record `facts.ModelVersion`s; lower versions are ignored."""
         for model, version in versions:
             known = self._version_by_model.get(model, 0)
             self._version_by_model[model] = max(known, version)
 
     def may_have_version(self, model, min_version):
-        """Return whether `model` is not known to be too old here."""
+        (
+            """Return whether the version of `model` here may be new enough.
+
+        It is False only if the version is known to be too old.
+        """
+            ""
+        )
         known = self._version_by_model.get(model, 0)
         return not known or known >= min_version
 
@@ -64,12 +70,12 @@
 
 
 def can_start(worker, item, now):
-    """Return whether `worker` takes a `WaitingItem` or `Run` now."""
+    """Return whether `worker` can start a `WaitingItem` or `Run` now."""
     return worker.free_slots > 0 and can_start_once_free(worker, item, now)
 
 
 def can_start_once_free(worker, item, now):
-    """Return whether it would take it with a place free."""
+    """Return whether `worker` could start it if it had a free slot."""
     replica = worker.replica
     return (
         replica.service == item.service
