--- a/packages/gateway/anvilwell_gateway/cluster_state.py
+++ b/packages/gateway/anvilwell_gateway/cluster_state.py
@@ -104,8 +104,8 @@
         }
         lost = {
             vm_id
-            for vm_id, life in before.items()
-            if self.incarnations_by_vm.get(vm_id) != life
+            for vm_id, incarnation in before.items()
+            if self.incarnations_by_vm.get(vm_id) != incarnation
         }
         fresh = ended - self.ended
         self._notify_entry_change()
@@ -136,9 +136,9 @@
                 delegate.change(change)
 
     def _change_live(self, change):
-        lives_before = self.incarnations_by_vm
+        incarnations_before = self.incarnations_by_vm
         vm_id = self._live.change(change)
-        before = lives_before.get(vm_id)
+        before = incarnations_before.get(vm_id)
         now = self.incarnations_by_vm.get(vm_id)
         self._notify_entry_change()
         _LOG.log("peer", peer=vm_id, is_live=now is not None)
--- a/packages/gateway/anvilwell_gateway/feeds.py
+++ b/packages/gateway/anvilwell_gateway/feeds.py
@@ -25,8 +25,8 @@
 # reads all entries again.
 MAX_CHANGES = 2000
 # How long a request waits for a change, in seconds. A neighbour that went
-# silent is detected after this time plus a margin, so that a change still
-# takes effect within the two seconds that it may take.
+# silent is noticed after this time plus a margin, so that changes still take
+# effect within the two seconds that they may take.
 WAIT_S = 1.0
 # Interval at which a waiting request checks whether this entry is still in
 # contact with the store, in seconds.
@@ -187,9 +187,10 @@
         await responder.send(200, (), cbor2.dumps(updates_by_prefix))
 
     async def _wait(self, revisions_by_prefix):
-        """Return updates_by_prefix as soon as one prefix has an update.
+        """Wait for an update of any prefix; return updates_by_prefix.
 
-        Returns None if this entry has no recent answer from the store.
+        Returns after ``WAIT_S`` at the latest, and None if this entry has had
+        no recent answer from the store.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + WAIT_S
--- a/packages/gateway/anvilwell_gateway/store_paths.py
+++ b/packages/gateway/anvilwell_gateway/store_paths.py
@@ -100,14 +100,14 @@
 
     async def send(self, call):
         """Return the `StoreResponse` to a `StoreCall`."""
-        question = messages.Request(
+        request = messages.Request(
             call.method,
             call.target,
             (("Host", str(self._address)), *call.headers),
             call.body,
         )
         reply, body = await _ask(
-            self._pool, _POOL_KEY, self._address, question, call.timeout_s
+            self._pool, _POOL_KEY, self._address, request, call.timeout_s
         )
         return StoreResponse(reply.status, body)
 
@@ -132,12 +132,12 @@
 
     async def send(self, call):
         """Return the `StoreResponse` that the peer received."""
-        question = peer_calls.build_request(RELAY_TARGET, self._address, call)
+        request = peer_calls.build_request(RELAY_TARGET, self._address, call)
         reply, body = await _ask(
             self._pool,
             self._vm_id,
             self._address,
-            question,
+            request,
             call.timeout_s + PEER_MARGIN_S,
         )
         if reply.status == 200:
@@ -151,13 +151,13 @@
         )
 
 
-async def _ask(pool, key, address, question, timeout_s):
+async def _ask(pool, key, address, request, timeout_s):
     try:
         return await pool.call(
-            key, address, question, timeout_s, MAX_ANSWER_BYTES
+            key, address, request, timeout_s, MAX_ANSWER_BYTES
         )
     except exceptions.BackendFailed as error:
-        path = question.target.partition("?")[0]
+        path = request.target.partition("?")[0]
         raise exceptions.KeyValueUnavailable(
             f"{path}: {error.message}", verdict=error.verdict
         ) from error
--- a/packages/gateway/anvilwell_gateway/substitute_ordering.py
+++ b/packages/gateway/anvilwell_gateway/substitute_ordering.py
@@ -44,7 +44,7 @@
         Whether this VM may order.
     engine_at : callable
         Returns the `engine.Engine` at an address.
-    needs_by_model : callable
+    min_versions_by_model : callable
         Returns the oldest version that the newest batch of a model takes.
     """
 
--- a/packages/gateway/anvilwell_gateway_standins/follower_world.py
+++ b/packages/gateway/anvilwell_gateway_standins/follower_world.py
@@ -187,21 +187,21 @@
         self._world = world
         self._name = name
 
-    async def call(self, vm_id, address, question, timeout_s, max_bytes):
+    async def call(self, vm_id, address, message, timeout_s, max_bytes):
         try:
             async with asyncio.timeout(timeout_s):
-                return await self._ask(vm_id, question)
+                return await self._ask(vm_id, message)
         except TimeoutError:
             raise exceptions.BackendFailed("no answer") from None
 
-    async def _ask(self, vm_id, question):
+    async def _ask(self, vm_id, message):
         await asyncio.sleep(ANSWER_S)
         peer = self._world.processes_by_name[vm_id]
         if not peer.is_alive:
             raise exceptions.BackendFailed("connection refused")
         responder = _Responder()
         request = messages.Request(
-            question.method, question.target, (), question.body
+            message.method, message.target, (), message.body
         )
         answering = asyncio.create_task(peer.feeds.answer(request, responder))
         try:
--- a/packages/gateway/anvilwell_gateway_standins/notice_strategies.py
+++ b/packages/gateway/anvilwell_gateway_standins/notice_strategies.py
@@ -195,9 +195,9 @@
         sender.set_entries(dict.fromkeys(self._world.vms, sent_at), ranked)
         await sender.send(NOTICE)
 
-    async def call(self, vm_id, address, question, timeout_s, max_bytes):
+    async def call(self, vm_id, address, request, timeout_s, max_bytes):
         """Answer as an entry does."""
-        await self._world.ask(vm_id, len(question.body))
+        await self._world.ask(vm_id, len(request.body))
         self._world.record_receipt(vm_id, address)
         answer = notices.NoticeResponse({"model": 11}, (self._world.home,))
         body = cbor2.dumps(answer)
--- a/packages/gateway/tests/test_crash_sync.py
+++ b/packages/gateway/tests/test_crash_sync.py
@@ -1,4 +1,4 @@
-"""Tests what a starting entry asks of others, in virtual time."""
+"""Tests how a starting entry fetches known crashes, in virtual time."""
 
 import asyncio
 import types
