--- a/packages/decisions/anvilwell_decisions/batches/slots.py
+++ b/packages/decisions/anvilwell_decisions/batches/slots.py
@@ -126,9 +126,9 @@
     def limit(self, replica_id, slots, now):
         """Return how many of a replica's slots may be used.
 
-        These are all slots if this VM is the only home, or no home at all; in
-        the latter case it was one before, or could not reach the home of the
-        items that it runs.
+        All slots may be used if this VM is the only home or isn't a home. In
+        the latter case it was a home before, or could not reach the home of
+        the items that it runs.
         """
         if len(self._homes) < 2 or self._vm_id not in self._homes:
             return slots
--- a/packages/decisions/anvilwell_decisions/duties/__init__.py
+++ b/packages/decisions/anvilwell_decisions/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about which VM does what one VM is enough for."""
+"""Decisions about which VM carries out work that only one VM has to do."""
--- a/packages/decisions/anvilwell_decisions/duties/notice_recipients.py
+++ b/packages/decisions/anvilwell_decisions/duties/notice_recipients.py
@@ -1,55 +1,58 @@
-"""Which entries an agent tells what its engine has and loads.
+"""Decides which entries an agent notifies of its engine's versions and loads.
 
-Entries that run batches for the engine need it, a few of many. Each entry
-knows them, by the owners of batches, and names them in its answer.
+Of many entries only a few run batches for the engine and need the notices.
+Every entry can derive these from the owners of the batches, and names them in
+its response to a notice.
 """
 
-# Fewer entries are told all: then nobody need be asked who needs it.
+# Up to this many entries are all notified, without asking who needs it.
 MAX_DIRECT = 8
-# Entries that are asked who needs a notice until one of them answers.
+# Number of entries that are asked who needs a notice, one after the other,
+# until one answers.
 MAX_ASKED = 3
 
 
 class NoticeRecipients:
-    """Remembers who needs an agent's notices, as entries named them."""
+    """Remembers which entries need an agent's notices, as named by entries."""
 
     def __init__(self):
         self._ranked = ()
         self._named = frozenset()
 
     def set_entries(self, ranked):
-        """Take in the entries that are there, those to ask first in front."""
+        """Set the live entries, in the order in which to ask them."""
         self._ranked = tuple(ranked)
 
     def begin(self):
-        """Return the `NoticeDelivery` of one notice."""
+        """Return the `NoticeDelivery` of a new notice."""
         return NoticeDelivery(self)
 
     @property
     def ranked(self):
-        """The entries that are there, in the order to ask them."""
+        """The live entries, in the order in which to ask them."""
         return self._ranked
 
     @property
     def named(self):
-        """The entries that need notices, as far as is known."""
+        """The live entries that need notices, as far as known."""
         return self._named.intersection(self._ranked)
 
     def update(self, named):
-        """Take in who needs notices, as of the newest answers."""
+        """Set which entries need notices, from the newest responses."""
         self._named = frozenset(named)
 
 
 class NoticeDelivery:
-    """One notice under way: who is to be told next.
+    """The delivery of one notice to the entries that need it.
 
-    Those that needed the last one are told at once, beside one that is
-    asked who needs it now; whoever is named besides is told then.
+    The notice goes at once to the entries that needed the last one, and to one
+    more entry that is asked who needs it now. Entries that a response names in
+    addition are notified then.
 
     Parameters
     ----------
-    audience : Audience
-        Who is known to need notices; it learns from the answers.
+    recipients : NoticeRecipients
+        Entries that need notices; updated from the responses.
     """
 
     def __init__(self, recipients):
@@ -61,14 +64,14 @@
         self._is_answered = False
 
     def first_recipients(self):
-        """Return the VMs to tell at once."""
+        """Return the VMs to notify at once."""
         ranked = self._recipients.ranked
         if len(ranked) <= MAX_DIRECT:
             return self._send_to(ranked)
         return self._send_to([*self._recipients.named, *self._next_to_ask()])
 
     def answered(self, vm_id, named):
-        """Take in that `vm_id` was told; return the VMs to tell as well."""
+        """Process a response by `vm_id`; return further VMs to notify."""
         self._pending.discard(vm_id)
         self._is_answered = True
         self._named.update(named)
@@ -76,14 +79,14 @@
         return self._send_to(self._recipients.named)
 
     def failed(self, vm_id):
-        """Take in that `vm_id` did not answer; return whom to tell now."""
+        """Process a failure at `vm_id`; return the VMs to notify instead."""
         self._pending.discard(vm_id)
         if self._is_answered or self._pending:
             return []
         return self._send_to(self._next_to_ask())
 
     def _next_to_ask(self):
-        """Return the next VM to ask who needs the notice, in a list."""
+        """Return a list of the next VM to ask, empty if there is none."""
         if self._asked == MAX_ASKED:
             return []
         self._asked += 1
--- a/packages/decisions/anvilwell_decisions/duties/usage.py
+++ b/packages/decisions/anvilwell_decisions/duties/usage.py
@@ -1,28 +1,30 @@
-"""How many requests each organisation began in each window of true time."""
+"""Counts the requests of each organisation by window of true time."""
 
 import collections
 import math
 import statistics
 import typing
 
-# Requests are counted by slices of the local clock, and put into windows
-# once true time is known. A window's edge is as exact as a slice.
+# Requests are counted by slices of the local clock, in seconds, and assigned
+# to windows once true time is known. The bounds of a window are as exact as a
+# slice.
 SLICE_S = 0.01
 
 
 class WindowCounts(typing.NamedTuple):
-    """What one process counted in one window."""
+    """The requests that one process counted in one window."""
 
     window: int
     by_organisation: dict[str, int]
 
 
 class ProcessCounts(typing.NamedTuple):
-    """What a process tells of its counts, for the ``number``-th time.
+    """The counts that a process sends to the holder of the duty.
 
-    All windows from ``since`` to ``through``, in seconds of true time, are
-    covered; one that is not in ``counts`` had no request. ``wall_time`` is
-    what its own clock of the day said.
+    ``number`` increases with each message. The message covers all windows from
+    ``since`` to ``through``, in seconds of true time; a window that is not in
+    ``counts`` had no request. ``wall_time`` is the time of day by the clock of
+    the process, and ``life`` its incarnation.
     """
 
     vm_id: str
@@ -35,18 +37,18 @@
 
 
 class WindowReport(typing.NamedTuple):
-    """What the platform is told of one window, once and for all."""
+    """The usage of one window as it is reported to the platform, once."""
 
     window: int
     by_organisation: dict[str, int]
 
 
 class Ledger(typing.NamedTuple):
-    """What every holder of the duty must know, as it lies in the store.
+    """What every holder of the duty has to know, as kept in the store.
 
-    Windows up to ``last`` are settled: those in ``reports`` may be sent
-    again just so, others never. ``told`` is what a holder that stopped
-    had gathered.
+    Windows up to ``last`` are settled. Those in ``reports`` may be sent again
+    without any change, others never. ``told`` holds the counts that a holder
+    had collected when it stopped.
     """
 
     last: int = 0
@@ -55,7 +57,7 @@
 
 
 class RequestCounter:
-    """Counts the requests that began here."""
+    """Counts the requests that began in this process."""
 
     def __init__(self):
         self._by_slice = collections.defaultdict(collections.Counter)
@@ -65,18 +67,18 @@
         self._by_slice[math.floor(at / SLICE_S)][organisation] += 1
 
     def forget(self, before):
-        """Drop what began before local time `before`."""
+        """Drop the requests that began before local time `before`."""
         old = [one for one in self._by_slice if one * SLICE_S < before]
         for one in old:
             del self._by_slice[one]
 
     def counts(self, offset_s, window_s):
-        """Return the `WindowCounts` of all windows that are not empty.
+        """Return the `WindowCounts` of all windows with requests.
 
         Parameters
         ----------
         offset_s : float
-            True time less local time.
+            True time minus local time.
         window_s : float
             Length of a window.
         """
@@ -91,24 +93,24 @@
 
 
 class CollectedCounts:
-    """What processes have told, and what follows for each window."""
+    """The counts received from processes, and the usage that results."""
 
     def __init__(self, window_s):
         self._window_s = window_s
         self.counts_by_incarnation = {}
 
     def bounds(self, window):
-        """Return when a window starts and ends, in seconds of true time."""
+        """Return the start and end of a window, in seconds of true time."""
         return window * self._window_s, (window + 1) * self._window_s
 
     def add(self, told):
-        """Take what a process tells; it replaces what it told before."""
+        """Add `ProcessCounts`; they replace earlier ones of the process."""
         known = self.counts_by_incarnation.get(told.life)
         if known is None or told.number >= known.number:
             self.counts_by_incarnation[told.life] = told
 
     def forget(self, before):
-        """Drop what ended before true time `before`."""
+        """Drop counts that end before true time `before`."""
         self.counts_by_incarnation = {
             life: told
             for life, told in self.counts_by_incarnation.items()
@@ -116,10 +118,10 @@
         }
 
     def is_known(self, window):
-        """Return whether somebody counted through the whole window.
+        """Return whether some process counted during the whole window.
 
-        After a loss of all VMs nobody did: what had begun before it is not
-        known, and is not guessed.
+        After a loss of all VMs none did. How many requests began before the
+        loss is unknown then, and is not estimated.
         """
         start, end = self.bounds(window)
         return any(
@@ -128,7 +130,7 @@
         )
 
     def is_complete(self, window, incarnations):
-        """Return whether all `incarnations` have told of the whole window."""
+        """Return whether all `incarnations` reported the whole window."""
         _, end = self.bounds(window)
         return all(
             life in self.counts_by_incarnation
@@ -147,9 +149,10 @@
 
 
 def add_report(ledger, report, max_reports):
-    """Return `ledger` with one report more, of which it keeps `max_reports`.
+    """Return `ledger` with `report` added; it keeps the last `max_reports`.
 
-    What a holder before had gathered of settled windows goes.
+    Counts that an earlier holder had collected are dropped once all of their
+    windows are settled.
     """
     reports = (*ledger.reports, report)[-max_reports:]
     told = tuple(
@@ -161,10 +164,10 @@
 
 
 class TrueTime:
-    """Tells true time from the clocks of many VMs.
+    """Estimates true time from the clocks of many VMs.
 
-    A VM's clock of the day may be wrong by seconds, and may jump. The
-    median of all offsets to the local steady clock is right as long as
+    The clock of one VM may be wrong by seconds, and may jump. The median of
+    the offsets of all clocks to the local monotonic clock is right as long as
     most clocks are.
     """
 
@@ -172,23 +175,23 @@
         self._offsets_by_vm = {}
 
     def record(self, vm_id, wall_time, now):
-        """Take what a VM's clock said at local time `now`."""
+        """Record the time that a VM's clock showed at local time `now`."""
         self._offsets_by_vm[vm_id] = (wall_time - now, now)
 
     def forget(self, before):
-        """Drop what was heard before local time `before`."""
+        """Drop readings from before local time `before`."""
         self._offsets_by_vm = {
             vm_id: reading
             for vm_id, reading in self._offsets_by_vm.items()
             if reading[1] >= before
         }
 
-    def is_known(self, incarnations):
-        """Return whether most of so many VMs that live were heard."""
-        return 2 * len(self._offsets_by_vm) > incarnations
+    def is_known(self, live_vms):
+        """Return whether most VMs were read, given the number of live ones."""
+        return 2 * len(self._offsets_by_vm) > live_vms
 
     @property
     def offset_s(self):
-        """True time less local time, in seconds."""
+        """True time minus local time, in seconds."""
         offsets = [offset for offset, _ in self._offsets_by_vm.values()]
         return statistics.median(offsets)
--- a/packages/decisions/anvilwell_decisions/leases/__init__.py
+++ b/packages/decisions/anvilwell_decisions/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases, the fencing numbers they give, and the door that checks them."""
+"""Leases, their fencing numbers, and the gate that checks these."""
--- a/packages/decisions/anvilwell_decisions/leases/fencing.py
+++ b/packages/decisions/anvilwell_decisions/leases/fencing.py
@@ -1,4 +1,4 @@
-"""The agent's check of fencing numbers, its engine's only door."""
+"""Checks the fencing number of every order to an agent's engine."""
 
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
@@ -7,20 +7,20 @@
 
 
 class FencingGate:
-    """Lets orders through whose fencing number is not an old one.
+    """Rejects orders whose fencing number is lower than the highest one.
 
-    After a start nothing passes until the highest number given is
-    known: the agent may have been told a higher one before it died. It
-    learns it from the key-value service's counter. While that is down,
-    the word of others cannot stand in, since they may have missed the
-    latest take-over; so it waits.
+    After a start no order passes until the highest number given is known,
+    since the agent may have seen a higher one before it crashed. The number is
+    read from the counter in the key-value service. While that is down, no
+    other source will do, since others may have missed the latest takeover; so
+    the agent waits.
     """
 
     def __init__(self):
         self.highest = None
 
     def raise_to(self, number):
-        """Take `number` as given; from a read of the counter."""
+        """Record a number that was read from the counter."""
         self.highest = max(number, self.highest or 0)
 
     def admit(self, number):
@@ -29,19 +29,20 @@
         Raises
         ------
         exceptions.Refused
-            If the highest number is not known yet; ask again later.
+            If the highest number is not known yet; the order may be retried.
         exceptions.Fenced
             If a higher number has been given.
         """
         if self.highest is None:
             raise exceptions.Refused(
-                "this agent has restarted and waits for the key-value"
-                " service to tell the highest fencing number",
+                "this agent has restarted and has not yet read the highest"
+                " fencing number from the key-value service",
                 reason=reasons.Refusal.KEY_VALUE_UNAVAILABLE,
                 retry_after=RETRY_AFTER_S,
             )
         if number < self.highest:
             raise exceptions.Fenced(
-                f"fencing number {number} is old; {self.highest} was given"
+                f"fencing number {number} is outdated; the highest is"
+                f" {self.highest}"
             )
         self.highest = number
--- a/packages/decisions/anvilwell_decisions/leases/leadership.py
+++ b/packages/decisions/anvilwell_decisions/leases/leadership.py
@@ -1,4 +1,4 @@
-"""Takes one leadership and gives it a fencing number."""
+"""Takes over a leadership, with a new fencing number for each takeover."""
 
 import enum
 import typing
@@ -12,7 +12,7 @@
 
 
 class Holder(typing.NamedTuple):
-    """The value of the holder's key."""
+    """The value of the key that names the holder."""
 
     vm_id: str
     fencing: int
@@ -23,7 +23,7 @@
 
 
 class Keys(typing.NamedTuple):
-    """The two keys of a leadership; one read gets both."""
+    """The two keys of a leadership; one read by prefix returns both."""
 
     prefix: str
     holder: str
@@ -40,7 +40,7 @@
 
 
 class Standing(enum.Enum):
-    """What one candidate knows of a leadership."""
+    """The state of a leadership from one candidate's view."""
 
     FREE = "free"
     OTHERS = "others"
@@ -48,7 +48,7 @@
 
 
 class Tenure(typing.NamedTuple):
-    """A leadership won: valid while its lease is."""
+    """A leadership that was won; it is valid while its lease is."""
 
     name: str
     fencing: int
@@ -57,12 +57,12 @@
 
 def keys(name, prefix=PREFIX):
     """Return the `Keys` of the leadership called `name`."""
-    prefix = f"{prefix}{name}/"
-    return Keys(prefix, f"{prefix}holder", f"{prefix}fencing")
+    own_prefix = f"{prefix}{name}/"
+    return Keys(own_prefix, f"{own_prefix}holder", f"{own_prefix}fencing")
 
 
 def read_fencing(entries_by_key, name):
-    """Return the highest number ever given, 0 if none was."""
+    """Return the highest number given so far, 0 if there is none."""
     entry = entries_by_key.get(keys(name).fencing)
     return int(entry.value) if entry else 0
 
@@ -70,9 +70,9 @@
 class Leadership:
     """One candidate's decisions about one leadership.
 
-    Each take-over raises the counter by the same conditional write that
-    puts the holder's key, so no number is given twice, also when the
-    store drops a lease too early. The counter's key has no lease.
+    Each takeover raises the counter by the same conditional write that creates
+    the holder's key. So no number is given twice, even if the store drops a
+    lease too early. The counter's key has no lease.
 
     Parameters
     ----------
@@ -80,7 +80,7 @@
         For example ``rollout/planner-lm``.
     vm_id : str
         The candidate.
-    under : str, optional
+    prefix : str, optional
         Prefix of its keys.
     """
 
@@ -100,7 +100,7 @@
         return Standing.OURS if is_ours else Standing.OTHERS
 
     def takeover_writes(self, entries_by_key, lease):
-        """Return the writes that take it over; all or none must land."""
+        """Return the writes of a takeover; all or none must be applied."""
         counter = entries_by_key.get(self._keys.fencing)
         known = int(counter.value) if counter else 0
         number = max(known, self._min_number) + 1
@@ -116,7 +116,7 @@
     def read_tenure(self, entries_by_key, lease):
         """Return our `Tenure` as a read shows it.
 
-        This is how a take-over whose answer was lost is resolved.
+        This resolves a takeover whose response was lost.
         """
         holder = HOLDER_ADAPTER.validate_json(
             entries_by_key[self._keys.holder].value
@@ -124,26 +124,28 @@
         return Tenure(self._name, holder.fencing, lease)
 
     def won_tenure(self, writes, lease):
-        """Return our `Tenure` once the `writes` of ``take`` landed."""
+        """Return our `Tenure` once the `writes` of a takeover are applied."""
         return Tenure(self._name, int(writes[1].value), lease)
 
     def record_higher(self, highest):
-        """Note that some door knows a number above the counter.
+        """Record that a fencing gate has seen a number above the counter.
 
-        It happens only if the store came back with older data. The next
-        take-over goes above it.
+        This happens only if the store was restored from older data. The next
+        takeover uses a higher number.
         """
         self._min_number = max(self._min_number, highest)
 
 
 def check_tenure(tenure, session, now):
-    """Allow one outward act at `now`; call right before each.
+    """Check that one external action is allowed at `now`.
+
+    It has to be called right before each action.
 
     Raises
     ------
     exceptions.Fenced
-        If the lease of `tenure` has been lost or is past its deadline
-        less margin: the act must not be done.
+        If the lease of `tenure` was lost or has passed its deadline, which
+        includes a margin: the action must not be done.
     """
     if session.lease != tenure.lease or not session.is_held(now):
         raise exceptions.Fenced(
--- a/packages/decisions/anvilwell_decisions/leases/session.py
+++ b/packages/decisions/anvilwell_decisions/leases/session.py
@@ -1,4 +1,4 @@
-"""The one key-value lease that a daemon's leaderships share."""
+"""The key-value lease that all leaderships of a daemon share."""
 
 import typing
 
@@ -8,25 +8,26 @@
 
 
 class Grant(typing.NamedTuple):
-    """Ask for a new lease of `ttl_s` seconds."""
+    """A call for a new lease of `ttl_s` seconds."""
 
     ttl_s: float
 
 
 class KeepAlive(typing.NamedTuple):
-    """Renew `lease`."""
+    """A call to renew `lease`."""
 
     lease: int
 
 
 class Session:
-    """Knows until when this daemon may act under its lease.
-
-    The deadline counts from the moment the call was *sent*, less a
-    margin for clock drift and for the act itself. The store counts from
-    a later moment, so the holder always stops before another may start.
-    A lost answer moves nothing. A lease renewed after its deadline is
-    good again: the store kept its keys, so nobody else took them.
+    """Computes until when this daemon may act under its lease.
+
+    The deadline counts from the moment at which the call was *sent*, less a
+    margin for clock drift and for the action itself. The store counts from a
+    later moment, so the holder always stops before another may start. A lost
+    response doesn't change the deadline. A lease that is renewed after its
+    deadline is valid again: the store kept its keys, so no other daemon took
+    them.
     """
 
     def __init__(self, ttl_s=TTL_S):
@@ -37,13 +38,13 @@
 
     @property
     def deadline(self):
-        """Monotonic time after which no act is allowed."""
+        """Monotonic time after which no action is allowed."""
         if not self.lease:
             return float("-inf")
         return self._renewed_at + self._granted_s * (1.0 - MARGIN_SHARE)
 
     def is_held(self, now):
-        """Return whether acts are allowed at `now`."""
+        """Return whether actions are allowed at `now`."""
         return now < self.deadline
 
     def next_call(self, now):
@@ -55,15 +56,15 @@
         return None
 
     def granted(self, lease, sent_at):
-        """Take a new lease, asked for at `sent_at`."""
+        """Record a new lease that was requested at `sent_at`."""
         self.lease = lease
         self._renewed_at = sent_at
         self._granted_s = self.ttl_s
 
     def renewed(self, lease, sent_at, granted_s):
-        """Take the answer to a renewal sent at `sent_at`.
+        """Record the response to a renewal sent at `sent_at`.
 
-        ``granted_s`` is 0 if the store says that the lease has lapsed.
+        ``granted_s`` is 0 if the store reports that the lease has expired.
         """
         if lease != self.lease:
             return
--- a/packages/decisions/anvilwell_decisions/outages/__init__.py
+++ b/packages/decisions/anvilwell_decisions/outages/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about what to do while a part of the platform is away."""
+"""Decisions about what to do while a part of the platform is unreachable."""
--- a/packages/decisions/anvilwell_decisions/outages/paths.py
+++ b/packages/decisions/anvilwell_decisions/outages/paths.py
@@ -1,26 +1,28 @@
-"""Chooses the way to the key-value service: direct, or through a peer."""
+"""Chooses the path to the key-value service: direct, or through a peer."""
 
-# The path that needs no peer.
+# The path that uses no peer.
 DIRECT = ""
-# One lost answer is no outage. Two in a row take 1.1 s of renewals, and
-# the lease of 3.5 s then still has a second for the way through a peer.
+# Failures in a row after which the direct path is left; one lost response is
+# no outage. Two take 1.1 s of renewals, so that the lease of 3.5 s has a
+# second left for the path through a peer.
 FAILURES = 2
-# A peer that failed is left out for so long, in seconds: about what it
-# takes to try two others, so that each is tried before it again.
+# A peer that failed is not used for this long, in seconds: about the time to
+# try two others, so that each is tried before this one again.
 PAUSE_S = 1.0
-# Once every peer has failed too, the outage is everybody's: the direct path
-# is kept for so long, in seconds. Without this a VM takes ten paths a second
-# while the service is down, each with its line in the log.
+# Once every peer has failed too, the outage affects all VMs, and the direct
+# path is kept for this long, in seconds. Without this a VM would try ten paths
+# a second while the service is down, each with a line in the log.
 HOLD_S = 3.0
 
 
 class PathChoice:
-    """Leaves a path that fails, and goes back once the direct one works.
+    """Leaves a failing path, and returns to the direct one once it works.
 
     Parameters
     ----------
     rng : random.Random
-        Spreads the VMs that lost their way over their peers.
+        Chooses among peers, so that VMs without a direct path spread over
+        them.
     """
 
     def __init__(self, rng):
@@ -33,7 +35,7 @@
         self.current = DIRECT
 
     def set_peers(self, vm_ids):
-        """Take in which VMs may help; return whether the path changed."""
+        """Set the VMs that may relay; return whether the path changed."""
         self._peers = frozenset(vm_ids)
         if self.current in self._peers | {DIRECT}:
             return False
@@ -41,9 +43,9 @@
         return True
 
     def answered(self, path):
-        """Note an answer that came by `path`; return if that changes it.
+        """Record a response on `path`; return whether the path changed.
 
-        Any answer by the direct path ends the way through a peer.
+        Any response on the direct path ends the use of a peer.
         """
         if path == self.current:
             self._failures = 0
@@ -55,10 +57,10 @@
         return True
 
     def failed(self, path, began_at, now):
-        """Note a failure on `path`; return whether the path changed.
+        """Record a failure on `path`; return whether the path changed.
 
-        Calls that were under way together and end together, such as the
-        watches that a service cuts, are one failure.
+        Calls that were in progress together and end together, such as watches
+        that the service closes, count as one failure.
 
         Parameters
         ----------
--- a/packages/decisions/anvilwell_decisions/traffic/__init__.py
+++ b/packages/decisions/anvilwell_decisions/traffic/__init__.py
@@ -1,1 +1,1 @@
-"""Which route, service and replica a caller's request goes to."""
+"""Decisions about the route, service and replica for a caller's request."""
--- a/packages/decisions/anvilwell_decisions/traffic/facts.py
+++ b/packages/decisions/anvilwell_decisions/traffic/facts.py
@@ -1,4 +1,4 @@
-"""What the platform tells: configuration, replicas and batches."""
+"""Data from the platform: configuration, replicas and batches."""
 
 import typing
 
@@ -11,14 +11,14 @@
 
 
 class Route(typing.NamedTuple):
-    """Where requests of one host and path go.
-
-    ``is_batch`` routes take batches; ``is_idempotent`` requests may run
-    more than once. Answers of ``is_stream`` routes are events, passed on
-    as they come; ``is_resumable`` ones may go on at another replica.
-    ``max_replicas`` bounds the replicas that one request may be sent to.
-    ``is_open`` routes need no key of an organisation. Results of batches are
-    due ``due_s`` after their submission, 0 if at no time. Times are in
+    """Where requests for one host and path prefix go.
+
+    ``is_batch`` routes take batches; ``is_idempotent`` requests may run more
+    than once. Responses of ``is_stream`` routes are events that are passed on
+    as they come; ``is_resumable`` ones may be continued by another replica.
+    ``max_replicas`` limits the replicas that one request may be sent to.
+    ``is_open`` routes need no organisation's key. Results of batches are due
+    ``due_s`` after their submission; 0 means no due time. Times are in
     seconds.
     """
 
@@ -41,10 +41,10 @@
 
 
 class ServiceFacts(typing.NamedTuple):
-    """A service; ``slots`` is what one engine runs at a time, 0 if none.
+    """A service; ``slots`` is how many requests one engine runs at a time.
 
-    ``memory_tokens`` is what one engine holds of prompts and texts, 0 if
-    that is not known.
+    It is 0 if the service has no slots. ``memory_tokens`` is how many tokens
+    of prompts and texts one engine can hold, 0 if unknown.
     """
 
     name: str
@@ -53,7 +53,7 @@
 
 
 class CallerLimits(typing.NamedTuple):
-    """What callers may send, in bytes, and how long they may take."""
+    """Limits on the size of callers' requests, in bytes, and on their time."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -62,9 +62,9 @@
 
 
 class Organisation(typing.NamedTuple):
-    """Who sends requests, by any of its keys.
+    """An organisation that sends requests, identified by any of its keys.
 
-    Its ``priority`` goes before a route's; None if it has none.
+    Its ``priority`` overrides that of a route, unless it is None.
     """
 
     name: str
@@ -73,7 +73,7 @@
 
 
 class Configuration(typing.NamedTuple):
-    """One version of the operators' configuration, whole."""
+    """One complete version of the operators' configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -90,15 +90,15 @@
 
 
 class Replica(typing.NamedTuple):
-    """One life of one replica, as it registered itself.
+    """One incarnation of a replica, as it registered itself.
 
-    ``replica_id`` names this life: whatever is known of it is known of no
-    other. The replica itself goes by ``name``, which it may keep when it
-    starts again, and started at the Unix millisecond ``started_ms``, 0 if
-    it does not say.
+    ``replica_id`` identifies this incarnation: nothing known of it applies to
+    any other. The replica itself is identified by ``name``, which it may keep
+    when it starts again. It started at the Unix time ``started_ms``, in
+    milliseconds, 0 if it doesn't state it.
 
-    ``versions`` holds the weight version of each of its models;
-    ``loading`` names those that it loads, and takes no new work for.
+    ``versions`` holds the weight version of each of its models; ``loading``
+    names the models that it is loading and takes no new items for.
     """
 
     replica_id: str
@@ -114,9 +114,9 @@
 
 
 class ScoringCall(typing.NamedTuple):
-    """The request that scores an item's text once that is whole.
+    """The request that scores an item's text once the text is complete.
 
-    It may be repeated, always under the same ``call_id``.
+    It may be repeated, always with the same ``call_id``.
     """
 
     call_id: str
@@ -126,10 +126,10 @@
 
 
 class Prompt(typing.NamedTuple):
-    """The size of a prompt in tokens, 0 if that is not known.
+    """The size of a prompt in tokens, 0 if unknown.
 
-    ``shared_tokens`` of them are those of all prompts with the same
-    ``shared_id``, "" for none.
+    ``shared_tokens`` of them are common to all prompts with the same
+    ``shared_id``, which is "" if there are none.
     """
 
     tokens: int = 0
@@ -138,7 +138,7 @@
 
 
 class Item(typing.NamedTuple):
-    """One item of a batch; ``expected_tokens`` is its caller's guess.
+    """One item of a batch; ``expected_tokens`` is the caller's estimate.
 
     Without a ``scoring_call`` its text alone is the result.
     """
@@ -167,9 +167,9 @@
 
 
 class Result(typing.NamedTuple):
-    """What became of an item; ``text`` is whole if it ``is_complete``.
+    """The result of an item; ``text`` is complete if ``is_complete`` is True.
 
-    ``score`` is the seal of the scorer's answer, "" for unscored items.
+    ``score`` is the seal of the scorer's response, "" for unscored items.
     """
 
     item_id: str
@@ -180,7 +180,7 @@
 
 
 class Event(typing.NamedTuple):
-    """One event of a replica's stream; ``version`` 0 if it names none."""
+    """One event of a replica's stream; ``version`` is 0 if it names none."""
 
     number: int
     data: str
--- a/packages/decisions/anvilwell_decisions/traffic/organisations.py
+++ b/packages/decisions/anvilwell_decisions/traffic/organisations.py
@@ -1,23 +1,23 @@
-"""Which organisation sends a request, and what is kept apart by it."""
+"""Identifies the organisation that sends a request, and separates batches."""
 
 import hashlib
 
 from anvilwell_kernel import exceptions
 
 _DIGEST_BYTES = 8
-# No batch id that a caller may choose holds it.
+# Batch ids chosen by callers can't contain this character.
 _SEPARATOR = ":"
 
 
 class Organisations:
     """The organisations of one configuration, by key.
 
-    Where there are none, nobody needs a key.
+    If the configuration has none, no request needs a key.
 
     Parameters
     ----------
     organisations : iterable of facts.Organisation
-        With their keys.
+        The organisations with their keys.
     """
 
     def __init__(self, organisations=()):
@@ -29,24 +29,25 @@
         self.are_known = bool(organisations)
 
     def sender(self, keys, is_open):
-        """Return the `facts.Organisation` that holds a request's key.
+        """Return the `facts.Organisation` that a request's key belongs to.
 
         Parameters
         ----------
         keys : sequence of str
-            All keys that the request brings.
+            All keys that the request carries.
         is_open : bool
-            Whether the request needs none.
+            Whether the request needs no key.
 
         Returns
         -------
         facts.Organisation or None
-            None if no organisation is to be named.
+            None if the request has no known key and needs none.
 
         Raises
         ------
         exceptions.UnknownKey
-            If a key is needed, and there is not just one that is known.
+            If a key is needed and the request doesn't carry exactly one, known
+            key.
         """
         if not self.are_known:
             return None
@@ -62,25 +63,25 @@
 
 
 def ranked(route, organisation):
-    """Return `route` with the priority that an organisation has there."""
+    """Return `route` with the organisation's priority, if it has one."""
     if organisation is None or organisation.priority is None:
         return route
     return route._replace(priority=organisation.priority)
 
 
 def owned_id(organisation, batch_id):
-    """Return the id under which an organisation's batch is kept.
+    """Return the id under which an organisation's batch is stored.
 
-    Two organisations may use one batch id. As their batches lie under
-    different ids everywhere, one's call on the other's finds just what it
-    would find if that had never been.
+    Two organisations may use the same batch id. Their batches are stored under
+    different ids everywhere, so a call by one for the other's batch gets the
+    same response as if that batch didn't exist.
 
     Parameters
     ----------
     organisation : str
-        Its name; "" for a batch that belongs to nobody in particular.
+        Name of the organisation; "" for a batch without one.
     batch_id : str
-        The trainer's id.
+        The trainer's id of the batch.
     """
     if not organisation:
         return batch_id
@@ -98,5 +99,5 @@
 
 
 def trainers_id(owned_id_):
-    """Return the trainer's id of a batch that is kept as ``owned_id_``."""
+    """Return the trainer's id of the batch that is stored as ``owned_id_``."""
     return owned_id_.rpartition(_SEPARATOR)[2]
--- a/packages/decisions/anvilwell_decisions/traffic/table.py
+++ b/packages/decisions/anvilwell_decisions/traffic/table.py
@@ -4,7 +4,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration, by host and longest prefix."""
+    """The routes of one configuration, by host and longest path prefix."""
 
     def __init__(self, routes=()):
         by_host = collections.defaultdict(list)
@@ -22,7 +22,7 @@
         return next(matching, None)
 
     def has_open_batches(self, host):
-        """Return whether some batches of `host` need no key."""
+        """Return whether any batch route of `host` needs no key."""
         routes = self._routes_by_host.get(host.lower(), ())
         return any(route.is_batch and route.is_open for route in routes)
 
@@ -32,7 +32,7 @@
 
 
 def choose_service(route, rng):
-    """Return the name of a service drawn by the route's weights."""
+    """Return the name of a service, drawn by the route's weights."""
     names = [target.service for target in route.targets]
     weights = [target.weight for target in route.targets]
     if not any(weights):
@@ -41,7 +41,7 @@
 
 
 def may_take(route, service):
-    """Return whether `route` lets requests go to `service` now."""
+    """Return whether `route` sends requests to `service` now."""
     return any(
         target.service == service and target.weight > 0
         for target in route.targets
@@ -49,13 +49,13 @@
 
 
 class Newest:
-    """Lets versions of a configuration only rise."""
+    """Keeps the newest configuration and rejects older versions."""
 
     def __init__(self):
         self.configuration = None
 
     def take(self, configuration):
-        """Take `configuration` if it is newer; return whether it is."""
+        """Keep `configuration` if it is newer; return whether it is."""
         known = self.configuration
         if known is not None and configuration.version <= known.version:
             return False
