--- a/packages/decisions/tests/batches/test_batch_state.py
+++ b/packages/decisions/tests/batches/test_batch_state.py
@@ -1,4 +1,4 @@
-"""Results are listed by whole groups, once, and for good."""
+"""Results are listed by complete groups, once and permanently."""
 
 from anvilwell_decisions.batches import batch_state as batch_states
 from anvilwell_decisions.batches import progress as progresses
@@ -43,7 +43,7 @@
     batch_state.mark_text_complete(item_id)
 
 
-def test_a_group_is_listed_once_it_is_whole():
+def test_a_group_is_listed_once_it_is_complete():
     batch_state = _batch_state()
 
     _finish(batch_state, "00")
@@ -57,7 +57,7 @@
     assert batch_state.listable_results() == []
 
 
-def test_an_item_is_given_up_after_its_failures():
+def test_an_item_is_abandoned_after_its_failures():
     batch_state = _batch_state()
     batch_state.count_failure("00")
     assert "00" in batch_state.waiting_ids()
@@ -73,7 +73,7 @@
     return batch_states.BatchState(_submission(is_scored=True), 2)
 
 
-def test_a_whole_text_is_listed_only_with_its_score():
+def test_a_complete_text_is_listed_only_with_its_score():
     batch_state = _scored_batch_state()
     _finish(batch_state, "00")
     _finish(batch_state, "01")
@@ -92,7 +92,7 @@
     ]
 
 
-def test_groups_that_lack_least_are_scored_first():
+def test_groups_with_fewest_missing_items_are_scored_first():
     batch_state = _scored_batch_state()
     for item_id in ("00", "10", "11"):
         _finish(batch_state, item_id)
@@ -102,7 +102,7 @@
     assert batch_state.unscored_ids() == ["11", "00"]
 
 
-def test_only_failures_of_the_scorer_itself_give_an_item_up():
+def test_only_failures_of_the_scorer_itself_abandon_an_item():
     batch_state = _scored_batch_state()
     _finish(batch_state, "00")
 
@@ -117,7 +117,7 @@
         assert batch_state.state("00") is state
 
 
-def test_a_score_after_the_item_was_given_up_changes_nothing():
+def test_a_score_for_an_abandoned_item_is_ignored():
     batch_state = _scored_batch_state()
     _finish(batch_state, "00")
     batch_state.mark_scoring("00")
@@ -129,7 +129,7 @@
     assert batch_state.state("00") is batch_states.ItemState.ABANDONED
 
 
-def test_an_ended_batch_wants_no_scores():
+def test_no_items_of_an_ended_batch_are_scored():
     batch_state = _scored_batch_state()
     _finish(batch_state, "00")
 
@@ -160,7 +160,7 @@
     assert batch_state.waiting_ids() == ["01", "10", "11", "20", "21"]
 
 
-def test_a_text_that_begins_anew_has_no_score():
+def test_a_restart_drops_the_score():
     saved = progresses.SavedProgress(
         "00", ("a",), (1,), True, progresses.Score("c", "s")
     )
@@ -172,7 +172,7 @@
     assert progress.score is None
 
 
-def test_an_ended_batch_wants_nothing_more():
+def test_no_items_of_an_ended_batch_run_or_are_listed():
     batch_state = _batch_state()
     _finish(batch_state, "00")
     _finish(batch_state, "01")
@@ -213,7 +213,7 @@
     assert batch_state.state("11") is batch_states.ItemState.DONE
 
 
-def test_what_an_earlier_owner_listed_keeps_its_place():
+def test_results_listed_by_an_earlier_owner_keep_their_positions():
     batch_state = _batch_state()
     listed = [facts.Result("10", True, "x", (1,)), facts.Result("11", False)]
 
@@ -235,8 +235,8 @@
     assert progress.result() == facts.Result("x", True, "a\nb", (5, 6))
 
 
-class BookMachine(stateful.RuleBasedStateMachine):
-    """Any order of runs, ends of runs and listings."""
+class BatchStateMachine(stateful.RuleBasedStateMachine):
+    """Runs, scoring calls and listings in any order."""
 
     def __init__(self):
         super().__init__()
@@ -299,5 +299,5 @@
         assert all(one.score for one in listed if one.is_complete)
 
 
-TestBook = BookMachine.TestCase
-TestBook.settings = hypothesis.settings(max_examples=60, deadline=None)
+TestBatchState = BatchStateMachine.TestCase
+TestBatchState.settings = hypothesis.settings(max_examples=60, deadline=None)
--- a/packages/decisions/tests/batches/test_dispatch.py
+++ b/packages/decisions/tests/batches/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Long items get the fast replicas; runs leave slow ones."""
+"""Long items get the fast replicas, and runs are moved off slow ones."""
 
 from anvilwell_decisions.batches import dispatch as dispatches
 from anvilwell_decisions.batches import paces
@@ -10,7 +10,7 @@
 NOW = 100.0
 FAST_S = 0.04
 SLOW_S = 0.15
-# So many that all moves are saved up that may be.
+# Enough started runs to fill the budget of moves.
 RUNS_BEFORE = 1000
 
 
@@ -40,7 +40,7 @@
         worker.pace.record_gap(pace_s, now)
 
 
-def _work(min_version=1, item_id="i"):
+def _item(min_version=1, item_id="i"):
     return dispatches.WaitingItem(
         (0,), "b", item_id, "g", "lm", "m", min_version
     )
@@ -55,7 +55,7 @@
     dispatch.worker("r0").running = 1
     dispatch.worker("r1").running = 1
 
-    assert dispatch.choose_replica(_work(), NOW) == "r2"
+    assert dispatch.choose_replica(_item(), NOW) == "r2"
 
 
 def test_the_fast_replicas_fill_first():
@@ -66,38 +66,38 @@
 
     chosen = []
     for _ in range(6):
-        replica_id = dispatch.choose_replica(_work(), NOW)
+        replica_id = dispatch.choose_replica(_item(), NOW)
         dispatch.worker(replica_id).running += 1
         chosen.append(replica_id)
 
     assert chosen[:4] == ["r1", "r2", "r1", "r2"]
     assert chosen[4:] == ["r0", "r0"]
-    assert dispatch.choose_replica(_work(), NOW) is None
+    assert dispatch.choose_replica(_item(), NOW) is None
 
 
-def test_old_versions_and_other_services_get_nothing():
+def test_outdated_replicas_and_other_services_get_no_item():
     dispatch = _dispatch(versions=(1, 2, 0))
 
-    assert dispatch.choose_replica(_work(min_version=2), NOW) in ("r1", "r2")
+    assert dispatch.choose_replica(_item(min_version=2), NOW) in ("r1", "r2")
     dispatch.worker("r1").not_before = NOW + 1
     dispatch.worker("r2").not_before = NOW + 1
-    assert dispatch.choose_replica(_work(min_version=2), NOW) is None
-    assert dispatch.choose_replica(_work()._replace(service="x"), NOW) is None
+    assert dispatch.choose_replica(_item(min_version=2), NOW) is None
+    assert dispatch.choose_replica(_item()._replace(service="x"), NOW) is None
 
 
-def test_a_new_version_of_another_model_says_nothing():
+def test_versions_of_other_models_are_ignored():
     dispatch = _dispatch(versions=(1, 1, 2))
     dispatch.worker("r0").update_versions([facts.ModelVersion("other", 9)])
 
-    assert dispatch.choose_replica(_work(min_version=2), NOW) == "r2"
+    assert dispatch.choose_replica(_item(min_version=2), NOW) == "r2"
 
 
-def test_a_refused_replica_gets_nothing_until_its_pause_is_over():
+def test_a_replica_that_refused_gets_no_item_during_its_pause():
     dispatch = _dispatch(versions=(1,))
     dispatch.worker("r0").not_before = NOW + dispatches.REFUSED_PAUSE_S
 
-    assert dispatch.choose_replica(_work(), NOW) is None
-    assert dispatch.choose_replica(_work(), NOW + 1.0) == "r0"
+    assert dispatch.choose_replica(_item(), NOW) is None
+    assert dispatch.choose_replica(_item(), NOW + 1.0) == "r0"
 
 
 @pytest.mark.parametrize(
@@ -113,7 +113,7 @@
     assert bool(found) == moves
 
 
-def test_even_paces_move_nothing():
+def test_no_run_moves_between_similar_paces():
     dispatch = _dispatch()
     _pace(dispatch, "r0", 1.1 * FAST_S)
     _pace(dispatch, "r1", FAST_S)
@@ -121,7 +121,7 @@
     assert not dispatch.choose_moves([_run("r0", 100)], NOW)
 
 
-def test_no_more_runs_move_than_find_room():
+def test_no_more_runs_move_than_there_are_free_slots():
     dispatch = _dispatch()
     _pace(dispatch, "r0", SLOW_S)
     _pace(dispatch, "r1", FAST_S)
@@ -132,7 +132,7 @@
     assert [move.run.events for move in found] == [60]
 
 
-def test_a_pause_of_all_runs_is_not_a_slow_replica():
+def test_a_pause_of_all_runs_does_not_count_as_slow():
     dispatch = _dispatch()
     for _ in range(2):
         _pace(dispatch, "r0", FAST_S)
@@ -143,7 +143,7 @@
     assert not dispatch.choose_moves([_run("r0", 100)], NOW)
 
 
-def test_a_run_leaves_a_replica_that_turns_slow_for_seconds():
+def test_a_run_leaves_a_replica_that_is_slow_for_seconds():
     dispatch = _dispatch()
     for replica_id in ("r0", "r1"):
         for _ in range(4):
@@ -161,17 +161,17 @@
     dispatch = _dispatch(versions=(1,))
     replica = dispatch.worker("r0").replica
     dispatch.set_replicas([replica._replace(loading=("m",))])
-    assert dispatch.choose_replica(_work(), NOW) is None
+    assert dispatch.choose_replica(_item(), NOW) is None
 
     dispatch.set_replicas([replica._replace(loading=("n",))])
-    assert dispatch.choose_replica(_work(), NOW) == "r0"
+    assert dispatch.choose_replica(_item(), NOW) == "r0"
 
 
 def _long(item_id, tokens=3_000):
-    return _work(item_id=item_id)._replace(prompt=facts.Prompt(tokens))
+    return _item(item_id=item_id)._replace(prompt=facts.Prompt(tokens))
 
 
-def _place(dispatch, work, now=NOW):
+def _assign(dispatch, work, now=NOW):
     replica_id = dispatch.choose_replica(work, now)
     if replica_id:
         dispatch.record_assignment(work, replica_id)
@@ -185,35 +185,35 @@
     _pace(dispatch, "r2", 1.5 * FAST_S)
     dispatch.set_runs([], {"lm": 9_000}, NOW)
 
-    chosen = [_place(dispatch, _long(f"i{n}")) for n in range(4)]
+    chosen = [_assign(dispatch, _long(f"i{n}")) for n in range(4)]
 
     assert sorted(chosen) == ["r0", "r0", "r1", "r2"]
 
 
-def test_an_item_starts_where_memory_is_short_rather_than_nowhere():
+def test_an_item_starts_even_if_memory_is_short_everywhere():
     dispatch = _dispatch(slots=8)
     dispatch.set_runs([], {"lm": 3_000}, NOW)
 
-    chosen = [_place(dispatch, _long(f"i{n}")) for n in range(6)]
+    chosen = [_assign(dispatch, _long(f"i{n}")) for n in range(6)]
 
     assert sorted(chosen) == ["r0", "r0", "r1", "r1", "r2", "r2"]
 
 
-def test_a_group_goes_where_its_prompt_is():
+def test_a_group_goes_where_its_prompt_is_held():
     dispatch = _dispatch(slots=8, versions=(1, 1))
     dispatch.set_runs([], {"lm": 100_000}, NOW)
     prompt = facts.Prompt(300, "p", 260)
     other = facts.Prompt(300, "q", 260)
 
     for n, one in enumerate((prompt, other, other, prompt)):
-        _place(dispatch, _work(item_id=f"i{n}")._replace(prompt=one))
+        _assign(dispatch, _item(item_id=f"i{n}")._replace(prompt=one))
 
     assert dispatch.worker("r0").memory.has_shared_prompt("p")
     assert not dispatch.worker("r0").memory.has_shared_prompt("q")
 
 
-def _full(dispatch, left):
-    """Fill the fast replica with runs that have so many events left."""
+def _fill_fast_replica(dispatch, left):
+    """Fill the fast replica with runs that have `left` more events."""
     for _ in range(100):
         dispatch.lengths.observe("k", 0, left)
     runs = []
@@ -225,44 +225,44 @@
 
 
 @pytest.mark.parametrize(("left", "waits"), [(5, True), (200, False)])
-def test_a_long_item_waits_for_a_fast_place_that_frees_soon(left, waits):
+def test_a_long_item_waits_for_a_fast_slot_that_frees_up_soon(left, waits):
     dispatch = _dispatch(versions=(1, 1))
     _pace(dispatch, "r0", SLOW_S)
     _pace(dispatch, "r1", FAST_S)
-    _full(dispatch, left)
-    long = _work()._replace(kind="new", events_made=40)
+    _fill_fast_replica(dispatch, left)
+    long = _item()._replace(kind="new", events_made=40)
 
     assert dispatch.choose_replica(long, NOW) == (None if waits else "r0")
 
 
-def test_items_that_wait_for_the_same_place_wait_one_after_the_other():
+def test_a_slot_that_frees_up_soon_is_reserved_for_one_item():
     dispatch = _dispatch(versions=(1, 1))
     _pace(dispatch, "r0", SLOW_S)
     _pace(dispatch, "r1", FAST_S)
-    _full(dispatch, 5)
-    long = _work()._replace(kind="new", events_made=40)
+    _fill_fast_replica(dispatch, 5)
+    long = _item()._replace(kind="new", events_made=40)
 
     chosen = [
-        _place(dispatch, long._replace(item_id=f"w{n}")) for n in range(8)
+        _assign(dispatch, long._replace(item_id=f"w{n}")) for n in range(8)
     ]
 
     assert chosen[:2] == [None, None]
     assert chosen.count("r0") == 2
 
 
-def test_nothing_waits_for_a_replica_that_fell_silent():
+def test_no_item_waits_for_a_silent_replica():
     dispatch = _dispatch(versions=(1, 1))
     _pace(dispatch, "r0", SLOW_S, NOW + 1.0)
     _pace(dispatch, "r1", FAST_S)
-    _full(dispatch, 5)
+    _fill_fast_replica(dispatch, 5)
     dispatch.set_runs([_run("r1", 0)._replace(kind="k")] * 2, {}, NOW + 1.0)
-    long = _work()._replace(kind="new", events_made=40)
+    long = _item()._replace(kind="new", events_made=40)
 
     assert dispatch.choose_replica(long, NOW + 1.0) == "r0"
 
 
-def _hungry(dispatch, events):
-    """Let four long runs be at one replica whose memory takes little."""
+def _four_long_runs(dispatch, events):
+    """Start four long runs at one replica with little memory."""
     for _ in range(100):
         dispatch.lengths.observe("k", 400, 8)
     runs = [
@@ -277,26 +277,32 @@
 
 
 @pytest.mark.parametrize(("events", "moves"), [(7, 0), (19, 1)])
-def test_a_run_goes_before_its_engine_preempts_one(events, moves):
-    """Four long items at one engine come to nine tenths of its memory."""
+def test_a_run_moves_before_its_engine_is_out_of_memory(events, moves):
+    """Four long items at one engine use nine tenths of its memory."""
     dispatch = _dispatch(slots=8)
     for replica_id in ("r0", "r1", "r2"):
         _pace(dispatch, replica_id, FAST_S)
-    runs = _hungry(dispatch, events)
+    runs = _four_long_runs(dispatch, events)
 
     found = dispatch.choose_moves(runs, NOW)
 
     assert [move.cause.name for move in found] == ["MEMORY"] * moves
-    # The one with most to come.
+    # The run with most events left is moved.
     assert [move.run.item_id for move in found] == ["l3"] * moves
 
 
 def test_an_item_moves_for_memory_only_once():
-    """All engines were full, and what waited took the place it went for."""
+    """Guards against repeated moves when all engines are full.
+
+    A waiting item took the slot that each move had freed, so that the memory
+    was short again.
+    """
     dispatch = _dispatch(slots=8)
     for replica_id in ("r0", "r1", "r2"):
         _pace(dispatch, replica_id, FAST_S)
-    runs = [run._replace(earlier_moves=1) for run in _hungry(dispatch, 19)]
+    runs = [
+        run._replace(earlier_moves=1) for run in _four_long_runs(dispatch, 19)
+    ]
 
     assert not dispatch.choose_moves(runs, NOW)
 
@@ -304,7 +310,7 @@
 def test_nothing_moves_for_memory_if_all_engines_are_full():
     dispatch = _dispatch(slots=8, versions=(1,))
     _pace(dispatch, "r0", FAST_S)
-    runs = _hungry(dispatch, 19)
+    runs = _four_long_runs(dispatch, 19)
 
     assert not dispatch.choose_moves(runs, NOW)
 
@@ -314,14 +320,14 @@
         st.tuples(st.sampled_from("abc"), st.sampled_from([None, 1, 2, 4]))
     )
 )
-def test_changes_of_single_replicas_lead_to_what_all_at_once_do(changes):
-    dispatch, whole = dispatches.Dispatcher(), dispatches.Dispatcher()
+def test_single_updates_give_the_same_state_as_a_full_one(changes):
+    dispatch, other_dispatch = dispatches.Dispatcher(), dispatches.Dispatcher()
     replicas_by_id = {}
     for replica_id, slots in changes:
         replica = slots and facts.Replica(replica_id, "lm", None, "z", slots)
         replicas_by_id[replica_id] = replica
         dispatch.update_replica(replica_id, replica)
-        whole.set_replicas(r for r in replicas_by_id.values() if r)
+        other_dispatch.set_replicas(r for r in replicas_by_id.values() if r)
         for one in "abc":
-            worker, other = dispatch.worker(one), whole.worker(one)
+            worker, other = dispatch.worker(one), other_dispatch.worker(one)
             assert (worker and worker.replica) == (other and other.replica)
--- a/packages/decisions/tests/batches/test_item_order.py
+++ b/packages/decisions/tests/batches/test_item_order.py
@@ -1,4 +1,4 @@
-"""Which items go first."""
+"""Late batches' new items go last."""
 
 import math
 
--- a/packages/decisions/tests/batches/test_lengths.py
+++ b/packages/decisions/tests/batches/test_lengths.py
@@ -1,9 +1,9 @@
-"""The longer a run has run, the more it has left."""
+"""The longer a run has been running, the more events it has left."""
 
 from anvilwell_decisions.batches import lengths
 import pytest
 
-TOKENS_AN_EVENT = 50
+TOKENS_PER_EVENT = 50
 
 
 def _lengths(*counts, expected_tokens=0):
@@ -13,12 +13,12 @@
     return known
 
 
-def test_nothing_is_known_of_lengths_at_first():
+def test_without_lengths_a_run_is_expected_to_double():
     assert _lengths().remaining_events("r", 0, 30) == 30
     assert _lengths(*[5] * 100).remaining_events("other", 0, 30) == 30
 
 
-def test_what_is_left_grows_in_a_long_tail():
+def test_remaining_events_grow_in_a_long_tail():
     known = _lengths(*[4] * 70, *[20] * 20, *[100] * 10)
 
     assert known.remaining_events("r", 0, 0) == pytest.approx(16.8)
@@ -28,24 +28,24 @@
     assert known.remaining_events("r", 0, 30) == pytest.approx(70.0)
 
 
-def test_a_run_longer_than_all_others_has_as_much_left_again():
+def test_a_run_longer_than_all_others_is_expected_to_double():
     assert _lengths(*[20] * 100).remaining_events("r", 0, 40) == 40
 
 
-def test_a_guess_is_a_scale():
+def test_an_estimate_is_used_as_a_scale():
     known = lengths.LengthEstimator()
     for events in (10, 20, 40) * 10:
-        known.observe("r", events * TOKENS_AN_EVENT, events)
+        known.observe("r", events * TOKENS_PER_EVENT, events)
 
-    expected_tokens = 30 * TOKENS_AN_EVENT
+    expected_tokens = 30 * TOKENS_PER_EVENT
     assert known.remaining_events("r", expected_tokens, 0) == pytest.approx(
         30.0
     )
     assert known.remaining_events("r", expected_tokens, 10) == pytest.approx(
         20.0
     )
-    assert known.tokens_per_event("r") == pytest.approx(TOKENS_AN_EVENT)
+    assert known.tokens_per_event("r") == pytest.approx(TOKENS_PER_EVENT)
 
 
-def test_without_guesses_the_tokens_of_an_event_are_unknown():
+def test_tokens_per_event_are_unknown_without_estimates():
     assert _lengths(*[20] * 100).tokens_per_event("r") == 0.0
--- a/packages/decisions/tests/batches/test_memory.py
+++ b/packages/decisions/tests/batches/test_memory.py
@@ -1,4 +1,4 @@
-"""Long items are spread, and a shared prompt is held once."""
+"""Long items are spread over engines, and a shared prompt is held once."""
 
 from anvilwell_decisions.batches import memory
 from anvilwell_decisions.traffic import facts
@@ -12,7 +12,7 @@
     return memory.memory_demand(prompt, 50.0, 10, 30)
 
 
-def test_a_run_holds_its_prompt_and_its_text_so_far():
+def test_a_run_holds_its_prompt_and_the_text_so_far():
     assert _long() == memory.MemoryDemand(1_500.0, 1_500.0)
     assert _long("p", 900) == memory.MemoryDemand(600.0, 1_500.0, "p", 900)
 
@@ -26,7 +26,7 @@
     assert engine.peak_share(_long()) == pytest.approx(1.0)
 
 
-def test_a_prompt_that_is_shared_counts_once():
+def test_a_shared_prompt_counts_once():
     engine = memory.EngineMemory(TOTAL)
     engine.add(_long("p", 900))
     engine.add(_long("p", 900))
@@ -36,7 +36,7 @@
     assert engine.peak_share(_long("q", 900)) == pytest.approx(0.9)
 
 
-def test_any_run_fits_an_engine_that_does_not_tell_its_memory():
+def test_any_run_fits_an_engine_with_unknown_memory():
     engine = memory.EngineMemory(0)
     for _ in range(100):
         engine.add(_long())
@@ -45,7 +45,7 @@
     assert engine.peak_share(_long()) == 0.0
 
 
-def test_memory_is_short_by_what_is_held_now():
+def test_nearly_full_depends_on_the_memory_held_now():
     engine = memory.EngineMemory(TOTAL)
     for _ in range(5):
         engine.add(_long())
@@ -56,13 +56,13 @@
     assert engine.is_nearly_full
 
 
-def test_what_ends_sooner_has_freed_its_memory_by_then():
-    """A long item beside short ones needs less than all their ends."""
+def test_runs_that_end_sooner_have_freed_their_memory():
+    """A long item beside short ones needs less than the sum of all peaks."""
     engine = memory.EngineMemory(TOTAL)
     for left in (100.0, 500.0, 6_000.0):
         engine.add(memory.MemoryDemand(1_000.0, left))
 
-    # At the end of the third: its own and the new one's.
+    # The peak is at the end of the third run, with the new one beside it.
     assert engine.peak_share(
         memory.MemoryDemand(1_000.0, 100.0)
     ) == pytest.approx(7 / 9)
--- a/packages/decisions/tests/batches/test_moves.py
+++ b/packages/decisions/tests/batches/test_moves.py
@@ -1,4 +1,4 @@
-"""A budget goes to the moves that save most."""
+"""The budget goes to the moves that save most time."""
 
 import types
 
@@ -17,37 +17,37 @@
     ("stay_s", "go_s", "earlier_moves", "is_worthwhile"),
     [
         (1.0, 0.5, 0, True),
-        # It costs as much as it saves.
+        # The move costs as much as it saves.
         (0.35, 0.1, 0, False),
-        # Paces that differ by a little.
+        # Paces that differ only a little.
         (6.0, 5.0, 0, True),
         (5.4, 5.0, 0, False),
-        # It moved twice before, for nothing so far.
+        # The item was moved twice before, which lowers the trust.
         (1.0, 0.5, 2, False),
         (2.0, 0.5, 2, True),
     ],
 )
-def test_a_move_saves_more_than_it_costs(
+def test_a_move_has_to_save_more_than_it_costs(
     stay_s, go_s, earlier_moves, is_worthwhile
 ):
     assert bool(moves.gain_s(stay_s, go_s, earlier_moves)) == is_worthwhile
 
 
-def test_all_moves_together_are_a_share_of_the_runs():
-    """Forty replicas' runs are slow at once: moves stay on their budget."""
+def test_the_budget_limits_moves_to_a_share_of_the_runs():
+    """The runs of forty replicas are slow at once."""
     budget = moves.MoveBudget()
-    made = 0
+    total = 0
     for _ in range(2000):
         budget.record_start()
-        asked = min(40, budget.available)
-        budget.spend(asked)
-        made += asked
+        moved = min(40, budget.available)
+        budget.spend(moved)
+        total += moved
 
-    most = moves.INITIAL_SAVED_MOVES + moves.MOVES_PER_RUN * 2000
-    assert made == pytest.approx(most, abs=1.0)
+    expected = moves.INITIAL_SAVED_MOVES + moves.MOVES_PER_RUN * 2000
+    assert total == pytest.approx(expected, abs=1.0)
 
 
-def test_what_is_left_of_a_budget_goes_to_the_greater_gains():
+def test_a_smaller_budget_requires_greater_gains():
     budget = moves.MoveBudget()
     for _ in range(1000):
         budget.record_start()
@@ -58,7 +58,7 @@
     assert budget.min_gain_s == pytest.approx(4 * min_gain_s)
 
 
-def test_what_moves_brought_is_told_when_the_text_is_whole():
+def test_savings_are_known_once_the_text_is_complete():
     history = moves.MoveHistory()
     history.record(_move(), NOW)
     history.record(_move(gain_s=1.0, events=20), NOW + 1.0)
@@ -71,7 +71,7 @@
     assert history.count("b", "i") == 0
 
 
-def test_a_move_to_a_replica_that_was_slower_after_all_has_cost_time():
+def test_a_move_to_a_slower_replica_has_negative_savings():
     history = moves.MoveHistory()
     history.record(_move(), NOW)
 
--- a/packages/decisions/tests/batches/test_scoring.py
+++ b/packages/decisions/tests/batches/test_scoring.py
@@ -1,4 +1,4 @@
-"""Bursts of texts that want scores, beside live calls."""
+"""Bursts of texts are scored beside live calls to the same service."""
 
 from anvilwell_decisions.batches import scoring
 from anvilwell_decisions.traffic import facts
@@ -21,13 +21,13 @@
 
 
 def _fill(limiter, now):
-    """Start all calls that may start; return how many run then."""
+    """Start all calls that may start; return how many are running then."""
     while limiter.may_start(now):
         limiter.running += 1
     return limiter.running
 
 
-def test_a_burst_takes_no_more_than_half_of_the_slots():
+def test_a_burst_uses_at_most_half_of_the_slots():
     assert _fill(_limiter(), 0.0) == SLOTS // 2
 
 
@@ -42,7 +42,7 @@
     assert _fill(limiter, 0.0) == SLOTS // 2
 
 
-def test_refusals_halve_the_calls_down_to_one_and_pause_them():
+def test_refusals_halve_the_limit_down_to_one_and_pause_calls():
     limiter = _limiter()
 
     limiter.record_refusal(0.0)
@@ -55,7 +55,7 @@
     assert _fill(limiter, scoring.REFUSED_PAUSE_S) == 1
 
 
-def test_answers_bring_the_calls_back_up():
+def test_answered_calls_raise_the_limit_again():
     limiter = _limiter()
     limiter.record_refusal(0.0)
     limiter.record_refusal(0.0)
@@ -66,15 +66,15 @@
     assert _fill(limiter, 1.0) == SLOTS // 2
 
 
-def test_two_entries_that_are_refused_leave_room_for_live_calls():
+def test_two_refused_entries_leave_slots_for_live_calls():
     limiters = [_limiter(), _limiter()]
-    room = SLOTS - 2
+    capacity = SLOTS - 2
     for step in range(400):
         now = step * scoring.REFUSED_PAUSE_S
         for limiter in limiters:
             limiter.running = 0
             wanted = _fill(limiter, now)
-            if sum(one.running for one in limiters) > room:
+            if sum(one.running for one in limiters) > capacity:
                 limiter.record_refusal(now)
             else:
                 for _ in range(wanted):
@@ -83,7 +83,7 @@
     assert sum(one.running for one in limiters) <= SLOTS
 
 
-def test_the_limit_follows_the_slowest_call_that_was_seen():
+def test_the_timeout_follows_the_slowest_recent_call():
     limiter = _limiter()
     assert limiter.limit_s(ROUTE) == 0.4
 
--- a/packages/decisions/tests/batches/test_shortlists.py
+++ b/packages/decisions/tests/batches/test_shortlists.py
@@ -19,57 +19,57 @@
 
 
 def _start(dispatch, items, now=NOW):
-    """Start so many items; return the replicas that took them."""
-    work = dispatches.WaitingItem((0,), "b", "i", "g", "lm", "m", 1)
-    taken = []
+    """Start up to `items` items; return the replicas that took them."""
+    item = dispatches.WaitingItem((0,), "b", "i", "g", "lm", "m", 1)
+    replica_ids = []
     for _ in range(items):
-        replica_id = dispatch.choose_replica(work, now)
+        replica_id = dispatch.choose_replica(item, now)
         if replica_id is not None:
             dispatch.worker(replica_id).running += 1
-            taken.append(replica_id)
-    return taken
+            replica_ids.append(replica_id)
+    return replica_ids
 
 
 @pytest.mark.parametrize("replicas", [10, 300, 1000])
-def test_all_places_are_found(replicas):
+def test_all_free_slots_are_found(replicas):
     dispatch = _dispatch(replicas)
 
     assert len(_start(dispatch, SLOTS * replicas + 5)) == SLOTS * replicas
 
 
 @pytest.mark.parametrize("replicas", [300, 3000])
-def test_a_step_is_spread_and_costs_little_a_replica(monkeypatch, replicas):
-    """The first items of three trainers, 264 at 30 machines, ten times."""
-    looks = []
+def test_a_step_is_spread_with_few_checks_per_item(monkeypatch, replicas):
+    """Ten times the first items, 264, of three trainers at 30 machines."""
+    checks = []
     can_start = workers.can_start
     monkeypatch.setattr(
         workers,
         "can_start",
-        lambda *args: looks.append(1) or can_start(*args),
+        lambda *args: checks.append(1) or can_start(*args),
     )
     dispatch = _dispatch(replicas)
     items = SLOTS * 300
 
-    taken = _start(dispatch, items)
+    replica_ids = _start(dispatch, items)
 
-    assert len(taken) == items
-    assert max(map(taken.count, set(taken))) <= SLOTS
-    assert len(looks) < 5 * shortlists.SHORTLIST_SIZE * items
+    assert len(replica_ids) == items
+    assert max(map(replica_ids.count, set(replica_ids))) <= SLOTS
+    assert len(checks) < 5 * shortlists.SHORTLIST_SIZE * items
 
 
-def test_with_no_place_left_nothing_is_looked_at_again(monkeypatch):
+def test_full_replicas_are_checked_only_once(monkeypatch):
     dispatch = _dispatch(300)
     _start(dispatch, SLOTS * 300)
-    looks = []
+    checks = []
     monkeypatch.setattr(
-        workers, "can_start", lambda *args: looks.append(1) and False
+        workers, "can_start", lambda *args: checks.append(1) and False
     )
 
     assert not _start(dispatch, 1000, NOW + 1.0)
-    assert len(looks) <= 300
+    assert len(checks) <= 300
 
 
-def test_a_place_that_becomes_free_is_found():
+def test_a_slot_that_becomes_free_is_found():
     dispatch = _dispatch(300)
     _start(dispatch, SLOTS * 300)
     assert not _start(dispatch, 1)
--- a/packages/decisions/tests/duties/test_notice_recipients.py
+++ b/packages/decisions/tests/duties/test_notice_recipients.py
@@ -1,4 +1,4 @@
-"""Whom an agent tells, by what the entries answer."""
+"""An agent notifies the entries that responses to its notices name."""
 
 from anvilwell_decisions.duties import notice_recipients
 import hypothesis
@@ -10,19 +10,19 @@
 
 @pytest.fixture
 def recipients():
-    """Return an audience among many entries."""
+    """Return `NoticeRecipients` among many entries."""
     made = notice_recipients.NoticeRecipients()
     made.set_entries(MANY)
     return made
 
 
-def test_a_few_entries_are_all_told(recipients):
+def test_a_few_entries_are_all_notified(recipients):
     few = MANY[: notice_recipients.MAX_DIRECT]
     recipients.set_entries(few)
     assert recipients.begin().first_recipients() == few
 
 
-def test_those_that_are_named_are_told_and_the_next_time_at_once(recipients):
+def test_named_entries_are_notified_and_next_time_at_once(recipients):
     delivery = recipients.begin()
     assert delivery.first_recipients() == ["e0"]
     assert delivery.answered("e0", ["e7", "e0", "gone"]) == ["e7"]
@@ -30,7 +30,7 @@
     assert sorted(recipients.begin().first_recipients()) == ["e0", "e7"]
 
 
-def test_one_that_nobody_names_any_more_is_told_no_more(recipients):
+def test_an_entry_that_is_no_longer_named_is_not_notified(recipients):
     recipients.update(["e7"])
     delivery = recipients.begin()
     delivery.first_recipients()
@@ -38,7 +38,7 @@
     assert sorted(recipients.begin().first_recipients()) == ["e0", "e9"]
 
 
-def test_the_next_entry_is_asked_where_none_has_answered(recipients):
+def test_the_next_entry_is_asked_if_none_has_answered(recipients):
     recipients.update(["e7"])
     delivery = recipients.begin()
     assert sorted(delivery.first_recipients()) == ["e0", "e7"]
@@ -48,7 +48,7 @@
     assert delivery.failed("e9") == []
 
 
-def test_a_notice_that_nobody_answers_is_given_up(recipients):
+def test_an_unanswered_notice_is_abandoned(recipients):
     delivery = recipients.begin()
     asked = delivery.first_recipients()
     for vm_id in asked:
@@ -62,21 +62,21 @@
         max_size=40,
     )
 )
-def test_nobody_is_told_twice_and_all_that_are_named_once(answers):
+def test_all_named_entries_are_notified_exactly_once(answers):
     recipients = notice_recipients.NoticeRecipients()
     recipients.set_entries(MANY)
     delivery = recipients.begin()
-    waits = told = delivery.first_recipients()
+    pending = notified = delivery.first_recipients()
     named = set()
     for is_answered, entries in answers:
-        if not waits:
+        if not pending:
             break
-        vm_id, waits = waits[0], waits[1:]
+        vm_id, pending = pending[0], pending[1:]
         if is_answered:
             named.update(entries)
             more = delivery.answered(vm_id, entries)
         else:
             more = delivery.failed(vm_id)
-        waits, told = [*waits, *more], [*told, *more]
-    assert len(told) == len(set(told))
-    assert named <= set(told)
+        pending, notified = [*pending, *more], [*notified, *more]
+    assert len(notified) == len(set(notified))
+    assert named <= set(notified)
--- a/packages/decisions/tests/duties/test_rendezvous.py
+++ b/packages/decisions/tests/duties/test_rendezvous.py
@@ -7,17 +7,17 @@
 VMS = [f"edge-{number}" for number in range(12)]
 
 
-def test_nobody_has_a_duty_where_nobody_is():
+def test_without_vms_none_is_chosen():
     assert rendezvous.choose_vm("watch", []) is None
 
 
 @hypothesis.given(st.permutations(VMS), st.text(max_size=9))
-def test_all_choose_alike_in_whatever_order_they_know_the_vms(vms, duty):
+def test_the_choice_does_not_depend_on_the_order_of_the_vms(vms, duty):
     assert rendezvous.choose_vm(duty, vms) == rendezvous.choose_vm(duty, VMS)
 
 
 @hypothesis.given(st.sampled_from(VMS), st.text(max_size=9))
-def test_a_vm_that_goes_moves_only_its_own_duties(gone, duty):
+def test_a_lost_vm_moves_only_its_own_duties(gone, duty):
     before = rendezvous.choose_vm(duty, VMS)
     after = rendezvous.choose_vm(duty, [vm for vm in VMS if vm != gone])
 
@@ -26,7 +26,7 @@
         assert after == before
 
 
-def test_duties_are_spread():
+def test_duties_are_spread_over_the_vms():
     counts = collections.Counter(
         rendezvous.choose_vm(f"duty-{number}", VMS) for number in range(1200)
     )
--- a/packages/decisions/tests/duties/test_usage.py
+++ b/packages/decisions/tests/duties/test_usage.py
@@ -1,4 +1,4 @@
-"""Counts by window of true time, and what follows from them."""
+"""Requests are counted by window of true time and reported once."""
 
 from anvilwell_decisions.duties import usage
 import hypothesis
@@ -8,7 +8,9 @@
 WINDOW_S = 5.0
 
 
-def _told(life="life", since=0.0, through=100.0, counts=(), number=1):
+def _process_counts(
+    life="life", since=0.0, through=100.0, counts=(), number=1
+):
     return usage.ProcessCounts("vm", life, number, 0.0, since, through, counts)
 
 
@@ -22,7 +24,7 @@
         counter.add("schools", at)
     counter.add("association", 2.6)
 
-    # The local clock began 2.5 s before the end of window 9.
+    # The local clock started 2.5 s before the end of window 9.
     counts = counter.counts(offset_s=47.5, window_s=WINDOW_S)
 
     assert counts == (
@@ -31,7 +33,7 @@
     )
 
 
-def test_what_is_old_is_dropped():
+def test_old_requests_are_dropped():
     counter = usage.RequestCounter()
     counter.add("schools", 1.0)
     counter.add("schools", 9.0)
@@ -56,15 +58,23 @@
     assert counted == len(begun)
 
 
-def test_a_report_sums_what_all_tell_and_counts_nothing_twice():
+def test_a_report_sums_all_processes_and_counts_nothing_twice():
     collected = usage.CollectedCounts(WINDOW_S)
-    # Told first, by a clock that was an hour ahead.
-    collected.add(_told("a", through=3611.0, counts=(_counts(722, lake=1),)))
-    collected.add(_told("a", counts=(_counts(2, schools=3),), number=3))
-    # Late on its way: it was told before the one above.
-    collected.add(_told("a", counts=(_counts(2, schools=2),), number=2))
+    # The first message came from a clock that was an hour ahead.
+    collected.add(
+        _process_counts("a", through=3611.0, counts=(_counts(722, lake=1),))
+    )
+    collected.add(
+        _process_counts("a", counts=(_counts(2, schools=3),), number=3)
+    )
+    # This message was sent before the one above and arrived later.
     collected.add(
-        _told("b", counts=(_counts(2, schools=1, lake=2), _counts(3, lake=9)))
+        _process_counts("a", counts=(_counts(2, schools=2),), number=2)
+    )
+    collected.add(
+        _process_counts(
+            "b", counts=(_counts(2, schools=1, lake=2), _counts(3, lake=9))
+        )
     )
 
     assert collected.report(2) == usage.WindowReport(
@@ -72,10 +82,10 @@
     )
 
 
-def test_a_window_is_whole_once_all_that_live_have_told_of_its_end():
+def test_a_window_is_complete_once_all_live_processes_reported_it():
     collected = usage.CollectedCounts(WINDOW_S)
-    collected.add(_told("a", through=15.0))
-    collected.add(_told("b", through=14.9))
+    collected.add(_process_counts("a", through=15.0))
+    collected.add(_process_counts("b", through=14.9))
 
     assert collected.is_complete(2, ["a"])
     assert not collected.is_complete(2, ["a", "b"])
@@ -86,17 +96,17 @@
     ("since", "through", "is_known"),
     [(10.0, 15.0, True), (10.1, 20.0, False), (0.0, 14.9, False)],
 )
-def test_a_window_that_nobody_counted_through_is_not_known(
+def test_a_window_that_no_process_counted_fully_is_unknown(
     since, through, is_known
 ):
-    """All VMs were lost in it: what had begun before is not known."""
+    """All VMs were lost during it, so what had begun before is unknown."""
     collected = usage.CollectedCounts(WINDOW_S)
-    collected.add(_told(since=since, through=through))
+    collected.add(_process_counts(since=since, through=through))
 
     assert collected.is_known(2) == is_known
 
 
-def test_the_ledger_keeps_what_may_have_to_be_sent_again():
+def test_the_ledger_keeps_reports_that_may_be_sent_again():
     ledger = usage.Ledger()
     for window in range(5):
         ledger = usage.add_report(
@@ -107,9 +117,11 @@
     assert [report.window for report in ledger.reports] == [2, 3, 4]
 
 
-def test_the_ledger_keeps_what_was_gathered_of_windows_to_come():
-    done = _told("a", counts=(_counts(1, schools=1),))
-    open_ = _told("b", counts=(_counts(1, schools=1), _counts(2, lake=1)))
+def test_the_ledger_keeps_counts_of_unsettled_windows():
+    done = _process_counts("a", counts=(_counts(1, schools=1),))
+    open_ = _process_counts(
+        "b", counts=(_counts(1, schools=1), _counts(2, lake=1))
+    )
     ledger = usage.Ledger(0, (), (done, open_))
 
     ledger = usage.add_report(ledger, usage.WindowReport(1, {}), max_reports=3)
@@ -118,7 +130,7 @@
     assert ledger.told == ()
 
 
-def test_true_time_is_known_by_the_clocks_of_most():
+def test_true_time_needs_the_clocks_of_most_vms():
     true_time = usage.TrueTime()
     true_time.record("a", 100.0, 0.0)
 
@@ -133,8 +145,8 @@
     st.floats(-3600, 3600),
     st.data(),
 )
-def test_true_time_holds_while_most_clocks_are_right(errors, wrong, data):
-    """Clocks of the day differ by milliseconds; some jump by more."""
+def test_true_time_is_right_while_most_clocks_are(errors, wrong, data):
+    """Right clocks differ by milliseconds; wrong ones by up to an hour."""
     true_time = usage.TrueTime()
     most = (len(errors) - 1) // 2
     wrong_ones = data.draw(st.sets(st.sampled_from(range(len(errors)))))
@@ -146,7 +158,7 @@
     assert abs(true_time.offset_s - 990.0) <= 0.02 + 1e-6
 
 
-def test_a_clock_that_is_not_heard_any_more_does_not_count():
+def test_an_old_reading_of_a_clock_does_not_count():
     true_time = usage.TrueTime()
     true_time.record("gone", 500.0, 1.0)
     true_time.record("here", 100.0, 30.0)
--- a/packages/decisions/tests/leases/test_leases.py
+++ b/packages/decisions/tests/leases/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases and fencing under pauses, outages and lost answers."""
+"""Leases and fencing hold under pauses, outages and lost responses."""
 
 import typing
 
@@ -16,7 +16,7 @@
 NAME = "rollout/lm"
 KEYS = leadership.keys(NAME)
 TTL_S = 10.0
-# The profile for CI has 100 examples, that of make fuzz 20000.
+# The CI profile has 100 examples, that of `make fuzz` 20000.
 EXAMPLES = 5 * hypothesis.settings.default.max_examples
 WHO = st.integers(0, 2)
 RARELY = st.sampled_from([False, False, False, True])
@@ -29,7 +29,7 @@
 
 
 class Store:
-    """Just enough of the key-value service: leases and one swap."""
+    """A minimal key-value service with leases and conditional writes."""
 
     def __init__(self):
         self.now = 0.0
@@ -78,7 +78,7 @@
 
 
 class Daemon:
-    """One candidate whose calls may lose their answers."""
+    """A candidate whose calls may lose their responses."""
 
     def __init__(self, vm_id, store):
         self.session = sessions.Session(TTL_S)
@@ -87,19 +87,19 @@
         self.tenure = None
         self.unsent = None
 
-    def renew(self, is_answer_lost):
+    def renew(self, is_response_lost):
         sent_at = self.store.now
         call = self.session.next_call(sent_at)
         if isinstance(call, sessions.Grant):
             lease = self.store.grant(call.ttl_s)
-            if not is_answer_lost:
+            if not is_response_lost:
                 self.session.granted(lease, sent_at)
         elif isinstance(call, sessions.KeepAlive):
             granted_s = self.store.keep_alive(call.lease, TTL_S)
-            if not is_answer_lost:
+            if not is_response_lost:
                 self.session.renewed(call.lease, sent_at, granted_s)
 
-    def run_for_leadership(self, is_answer_lost):
+    def run_for_leadership(self, is_response_lost):
         lease = self.session.lease
         if not self.session.is_held(self.store.now):
             return
@@ -109,7 +109,7 @@
             self.tenure = self.leadership.read_tenure(found, lease)
         elif standing is leadership.Standing.FREE:
             writes = self.leadership.takeover_writes(found, lease)
-            if self.store.swap(writes) and not is_answer_lost:
+            if self.store.swap(writes) and not is_response_lost:
                 self.tenure = self.leadership.won_tenure(writes, lease)
 
     def check(self):
@@ -123,10 +123,10 @@
 
 
 class LeaseMachine(stateful.RuleBasedStateMachine):
-    """Candidates, one store, one door and orders that arrive late.
+    """Candidates, one store, one fencing gate and orders that arrive late.
 
-    Two of the candidates are starts of the same VM: the first of them
-    may only be paused, not dead.
+    Two of the candidates are incarnations of the same VM: the first one may
+    only be paused and not dead.
     """
 
     def __init__(self):
@@ -215,7 +215,7 @@
 
 
 class HonestStoreMachine(LeaseMachine):
-    """The same with a store that keeps its leases."""
+    """The same with a store that never drops a lease early."""
 
     store_forgets_a_lease = None
 
@@ -243,7 +243,7 @@
     return daemon
 
 
-def test_holder_stops_before_the_store_lets_another_in(held):
+def test_holder_stops_before_the_store_admits_another(held):
     held.store.advance(7.9)
     assert held.check()
     held.store.advance(0.2)
@@ -257,7 +257,7 @@
     assert other.tenure.fencing == held.tenure.fencing + 1
 
 
-def test_takeover_with_a_lost_answer_is_read_back():
+def test_takeover_with_a_lost_response_is_read_back():
     store = Store()
     daemon = Daemon("vm0", store)
     daemon.renew(False)
@@ -267,7 +267,7 @@
     assert daemon.tenure.fencing == 1
 
 
-def test_renewal_with_a_lost_answer_moves_no_deadline(held):
+def test_renewal_with_a_lost_response_moves_no_deadline(held):
     before = held.session.deadline
     held.store.advance(5.0)
     held.renew(True)
@@ -281,7 +281,7 @@
     assert again.tenure is None
 
 
-def test_door_passes_nothing_until_it_knows_the_highest_number():
+def test_gate_admits_no_order_before_the_highest_number_is_known():
     gate = fencing.FencingGate()
     with pytest.raises(exceptions.Refused) as raised:
         gate.admit(7)
@@ -292,7 +292,7 @@
     gate.admit(8)
 
 
-def test_number_goes_above_what_a_door_knows_after_the_store_lost_data():
+def test_number_exceeds_that_of_a_gate_after_the_store_lost_data():
     daemon = Daemon("vm0", Store())
     daemon.renew(False)
     daemon.leadership.record_higher(41)
@@ -300,7 +300,7 @@
     assert daemon.tenure.fencing == 42
 
 
-def test_lapsed_lease_is_replaced_by_a_new_one(held):
+def test_expired_lease_is_replaced_by_a_new_one(held):
     held.store.advance(10.1)
     held.renew(False)
     assert not held.check()
--- a/packages/decisions/tests/outages/test_paths.py
+++ b/packages/decisions/tests/outages/test_paths.py
@@ -1,4 +1,4 @@
-"""Which way to the key-value service is taken after which failures."""
+"""Which path to the key-value service is used after which failures."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 def _fail(choice, path, now):
-    """Have a call fail that began and ended at `now`."""
+    """Record the failure of a call that began and ended at `now`."""
     return choice.failed(path, now, now)
 
 
@@ -26,7 +26,7 @@
         _fail(choice, paths.DIRECT, number * 0.1)
 
 
-def test_one_lost_answer_changes_nothing():
+def test_one_failure_changes_nothing():
     choice = _choice("entry-1")
     assert not _fail(choice, paths.DIRECT, 0.0)
     choice.answered(paths.DIRECT)
@@ -37,12 +37,12 @@
 def test_calls_that_end_together_are_one_failure():
     choice = _choice("entry-1")
     for _ in range(4):
-        # Four watches that wait since 0.0 s are cut.
+        # Four watches that have been open since 0.0 s are closed.
         assert not choice.failed(paths.DIRECT, 0.0, 1.0)
     assert choice.current == paths.DIRECT
 
 
-def test_failures_in_a_row_lead_through_a_peer():
+def test_failures_in_a_row_switch_to_a_peer():
     choice = _choice("entry-1")
     assert not _fail(choice, paths.DIRECT, 0.0)
     assert _fail(choice, paths.DIRECT, 0.1)
@@ -55,7 +55,7 @@
     assert choice.current == paths.DIRECT
 
 
-def test_a_peer_that_fails_is_left_for_another():
+def test_a_failing_peer_is_replaced_by_another():
     choice = _choice("entry-1", "entry-2")
     _leave_direct(choice)
     first = choice.current
@@ -70,7 +70,7 @@
     assert choice.current == paths.DIRECT
 
 
-def test_in_an_outage_of_all_the_direct_path_is_kept_for_a_while():
+def test_the_direct_path_is_kept_for_a_while_in_a_full_outage():
     choice = _choice("entry-1")
     _leave_direct(choice)
     _fail(choice, "entry-1", 0.2)
@@ -79,14 +79,14 @@
     assert _fail(choice, paths.DIRECT, 0.2 + paths.HOLD_S)
 
 
-def test_an_answer_on_the_direct_path_ends_the_detour():
+def test_a_response_on_the_direct_path_ends_the_use_of_a_peer():
     choice = _choice("entry-1")
     _leave_direct(choice)
     assert choice.answered(paths.DIRECT)
     assert choice.current == paths.DIRECT
 
 
-def test_late_failures_of_a_path_that_was_left_change_nothing():
+def test_late_failures_of_an_abandoned_path_change_nothing():
     choice = _choice("entry-1", "entry-2")
     _leave_direct(choice)
     taken = choice.current
@@ -94,7 +94,7 @@
     assert choice.current == taken
 
 
-def test_a_peer_that_is_gone_is_not_used():
+def test_a_lost_peer_is_not_used():
     choice = _choice("entry-1")
     _leave_direct(choice)
     assert choice.set_peers(())
@@ -140,7 +140,7 @@
         usable = {p for p in self.peers | {paths.DIRECT} if self.works[p]}
         if not usable:
             return
-        # Time for each peer to be paused and tried again.
+        # Enough time for each peer to be paused and tried again.
         for _ in range(100):
             if self.choice.current in usable:
                 return
--- a/packages/decisions/tests/test_examples.py
+++ b/packages/decisions/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""How many examples the control state machines run, in all."""
+"""The state machines of the control plane run enough examples in total."""
 
 import importlib.util
 import pathlib
@@ -8,13 +8,13 @@
 import hypothesis
 
 HERE = pathlib.Path(__file__).parent
-LEAST = 2000
+MIN_EXAMPLES = 2000
 MACHINES = (
     "configuration/test_agreement.py",
     "leases/test_leases.py",
     "rollout/test_rollout.py",
 )
-FLEET = "membership/test_fleet_machine.py"
+FLEET_MACHINE = "membership/test_fleet_machine.py"
 
 
 def load(path):
@@ -38,10 +38,10 @@
 
 
 def test_control_machines_run_at_least_2000_examples(monkeypatch):
-    """Configuration, leases with their doors, rollout and membership."""
+    """Counts configuration, leases with fencing, rollout and membership."""
     monkeypatch.syspath_prepend(str(HERE / "configuration"))
     counts = {path: examples(load(path)) for path in MACHINES}
-    counts[FLEET] = load(FLEET).EXAMPLES
+    counts[FLEET_MACHINE] = load(FLEET_MACHINE).EXAMPLES
     print(counts, sum(counts.values()))
-    assert sum(counts.values()) >= LEAST, counts
+    assert sum(counts.values()) >= MIN_EXAMPLES, counts
     assert hypothesis.settings.default.max_examples >= 100
--- a/packages/decisions/tests/traffic/test_organisations.py
+++ b/packages/decisions/tests/traffic/test_organisations.py
@@ -1,4 +1,4 @@
-"""Which organisation sends a request, and whose a batch is."""
+"""Keys identify organisations, and batches are separate by organisation."""
 
 from anvilwell_decisions.traffic import facts
 from anvilwell_decisions.traffic import organisations
@@ -16,12 +16,12 @@
 @pytest.mark.parametrize(
     ("key", "sender"), [("a1", ASSOCIATION), ("a2", ASSOCIATION)]
 )
-def test_any_key_of_an_organisation_is_its_own(key, sender):
+def test_any_key_identifies_its_organisation(key, sender):
     assert KNOWN.sender([key], is_open=False) == sender
 
 
 @pytest.mark.parametrize("keys", [[], [""], ["gone"], ["a1", "s1"]])
-def test_a_route_that_wants_a_key_takes_one_that_is_known(keys):
+def test_a_route_that_needs_a_key_rejects_unknown_or_several(keys):
     with pytest.raises(exceptions.UnknownKey):
         KNOWN.sender(keys, is_open=False)
 
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize(
     ("keys", "sender"), [([], None), (["gone"], None), (["s1"], SCHOOLS)]
 )
-def test_an_open_route_takes_any_key_and_none(keys, sender):
+def test_an_open_route_accepts_any_key_and_none(keys, sender):
     assert KNOWN.sender(keys, is_open=True) == sender
 
 
@@ -40,7 +40,7 @@
     assert nobody.sender(["x"], is_open=False) is None
 
 
-def test_a_key_that_moved_is_the_new_organisation_s():
+def test_a_moved_key_identifies_the_new_organisation():
     moved = organisations.Organisations(
         (
             ASSOCIATION._replace(keys=("a2",)),
@@ -51,7 +51,7 @@
     assert moved.sender(["a1"], is_open=False).name == "schools"
 
 
-def test_an_organisation_s_priority_goes_before_the_route_s():
+def test_the_priority_of_an_organisation_overrides_the_route():
     assert organisations.ranked(ROUTE, ASSOCIATION).priority == 0
     assert organisations.ranked(ROUTE, SCHOOLS).priority == 2
     assert organisations.ranked(ROUTE, None).priority == 2
@@ -62,7 +62,7 @@
 
 
 @hypothesis.given(NAMES, BATCH_IDS, NAMES, BATCH_IDS)
-def test_batches_are_told_apart_by_organisation(one, id_1, other, id_2):
+def test_batch_ids_are_distinct_by_organisation(one, id_1, other, id_2):
     is_same = (one, id_1) == (other, id_2)
     kept_as = organisations.owned_id(one, id_1)
 
--- a/packages/decisions/tests/traffic/test_table.py
+++ b/packages/decisions/tests/traffic/test_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix; versions that only rise."""
+"""Routes are found by host and longest prefix; older versions rejected."""
 
 import collections
 import random
@@ -40,7 +40,7 @@
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, 9)))
-def test_a_configuration_never_goes_back(versions):
+def test_an_older_configuration_is_rejected(versions):
     newest = table.Newest()
 
     in_force = []
