--- a/packages/decisions/anvilwell_decisions/batches/batch_state.py
+++ b/packages/decisions/anvilwell_decisions/batches/batch_state.py
@@ -77,7 +77,7 @@
     def restore(self, listed, saved=()):
         """Restore what an earlier owner of the batch listed and saved."""
         for result in listed:
-            self._note_listed(result)
+            self._record_listed(result)
             self._states_by_id[result.item_id] = ItemState.DONE
         for one in saved:
             self._restore_progress(progresses.Progress.from_saved(one))
@@ -216,7 +216,7 @@
         return [
             self._result(item_id)
             for group in sorted(self._unlisted_groups)
-            if self._is_whole(group)
+            if self._is_finished(group)
             for item_id in self._members_by_group[group]
             if item_id not in self._listed_ids
         ]
@@ -225,14 +225,14 @@
     def has_enough_groups(self):
         """Whether as many groups are finished as the trainer waits for."""
         total = len(self._members_by_group)
-        whole = sum(map(self._is_whole, self._unlisted_groups))
+        finished = sum(map(self._is_finished, self._unlisted_groups))
         listed = total - len(self._unlisted_groups)
-        return listed + whole >= (self.submission.wanted_groups or total)
+        return listed + finished >= (self.submission.wanted_groups or total)
 
     def mark_listed(self, results):
         """Record that `results` are stored at the next positions."""
         for result in results:
-            self._note_listed(result)
+            self._record_listed(result)
 
     def unlisted_progress(self):
         """Return the `Progress` of each unlisted item that has events."""
@@ -242,7 +242,7 @@
             if item_id not in self._listed_ids and progress.events
         ]
 
-    def _note_listed(self, result):
+    def _record_listed(self, result):
         self.listed.append(result)
         self._listed_ids.add(result.item_id)
         self.progress_by_id[result.item_id] = progresses.Progress(
@@ -252,7 +252,7 @@
         if self._listed_ids.issuperset(self._members_by_group[group]):
             self._unlisted_groups.discard(group)
 
-    def _is_whole(self, group):
+    def _is_finished(self, group):
         return all(
             self._states_by_id[item_id] in _ENDED
             for item_id in self._members_by_group[group]
--- a/packages/decisions/anvilwell_decisions/batches/dispatch.py
+++ b/packages/decisions/anvilwell_decisions/batches/dispatch.py
@@ -82,8 +82,7 @@
     def __init__(self):
         self._workers_by_id = {}
         self._shortlists = shortlists.Shortlists()
-        # Workers with runs at the last call of `set_runs`; a worker is listed
-        # once for each of its runs.
+        # Workers with runs; a worker is listed once for each of its runs.
         self._busy_workers = []
         self._tokens_by_service = {}
         self._slowdowns_by_service = collections.defaultdict(paces.Slowdowns)
@@ -180,14 +179,14 @@
         """Return the `moves.Move`s to make now; all ``runs`` may move."""
         return self.move_selector.choose(runs, self._workers_by_id, now)
 
-    def record_assignment(self, work, replica_id):
+    def record_assignment(self, item, replica_id):
         """Record that a `WaitingItem` was assigned to a replica."""
         worker = self._workers_by_id[replica_id]
         worker.running += 1
         left = self.lengths.remaining_events(
-            work.kind, work.expected_tokens, work.events_made
+            item.kind, item.expected_tokens, item.events_made
         )
-        worker.memory.add(self._memory_demand(work, work.events_made, left))
+        worker.memory.add(self._memory_demand(item, item.events_made, left))
         self._busy_workers.append(worker)
         self.move_selector.budget.record_start()
 
@@ -196,7 +195,7 @@
         tokens = self.lengths.tokens_per_event(one.kind)
         return memory.memory_demand(one.prompt, tokens, events_made, left)
 
-    def choose_replica(self, work, now):
+    def choose_replica(self, item, now):
         """Return the id of the replica for a `WaitingItem`, or None for now.
 
         Callers pass the longest items first, so that these get the fast
@@ -205,14 +204,14 @@
         one.
         """
         able = self._shortlists.find(
-            work.service,
-            (work.service, work.model, work.min_version, now),
-            lambda worker: workers.can_start(worker, work, now),
+            item.service,
+            (item.service, item.model, item.min_version, now),
+            lambda worker: workers.can_start(worker, item, now),
         )
         if not able:
             return None
         events = self.lengths.remaining_events(
-            work.kind, work.expected_tokens, work.events_made
+            item.kind, item.expected_tokens, item.events_made
         )
         expected = [worker.pace.expected_s(events, now) for worker in able]
         known = [one for one in expected if one is not None]
@@ -230,15 +229,15 @@
                 for worker, one in zip(able, expected, strict=True)
             ),
         )
-        demand = self._memory_demand(work, work.events_made, events)
+        demand = self._memory_demand(item, item.events_made, events)
         *_, expected_s, best = min(
             candidates, key=lambda one: _sort_key(one, demand)
         )
-        if expected_s and self._should_wait(work, events, expected_s, now):
+        if expected_s and self._should_wait(item, events, expected_s, now):
             return None
         return best.name
 
-    def _should_wait(self, work, events, expected_s, now):
+    def _should_wait(self, item, events, expected_s, now):
         """Return whether an item should wait for a slot that frees up soon.
 
         If so, the slot is reserved, so that items considered later don't wait
@@ -249,7 +248,7 @@
             for worker in self._busy_workers
             if worker.run_ends_s
             and worker.free_slots <= 0
-            and workers.can_start_once_free(worker, work, now)
+            and workers.can_start_once_free(worker, item, now)
         ]
         ends_s, worker = min(
             (
@@ -275,9 +274,9 @@
     return int(expected_s / shortest_s * PACE_STEPS)
 
 
-def _sort_key(candidates, demand):
+def _sort_key(candidate, demand):
     """Return the sort key of a candidate replica; the lowest is chosen."""
-    step, load, name, _, worker = candidates
+    step, load, name, _, worker = candidate
     peak_share = worker.memory.peak_share(demand)
     return (
         peak_share > memory.MAX_PEAK_SHARE,
--- a/packages/decisions/anvilwell_decisions/batches/move_selection.py
+++ b/packages/decisions/anvilwell_decisions/batches/move_selection.py
@@ -38,8 +38,8 @@
         """
         if not self.budget.available:
             return []
-        choice = _Selection(self._lengths, self.budget, workers_by_id, now)
-        made = choice.moves(runs)
+        selection = _Selection(self._lengths, self.budget, workers_by_id, now)
+        made = selection.moves(runs)
         self.budget.spend(len(made))
         return made
 
@@ -70,7 +70,7 @@
             if len(made) == self._budget.available:
                 break
             # Earlier moves may have taken the slot.
-            again = self._gain(move.run, is_made=True)
+            again = self._gain(move.run, takes_slot=True)
             if again is not None:
                 made.append(again)
         return made
@@ -114,8 +114,11 @@
         go_s = fitting[0].pace.expected_s(left, self._now)
         return self._move(run, left, stay_s, stay_s - go_s, moves.Cause.MEMORY)
 
-    def _gain(self, run, is_made=False):
-        """Return the `moves.Move` that saves a run most time, or None."""
+    def _gain(self, run, takes_slot=False):
+        """Return the `moves.Move` that saves a run most time, or None.
+
+        With ``takes_slot`` the slot is no longer free for other moves.
+        """
         worker = self._workers_by_id.get(run.replica_id)
         if worker is None:
             return None
@@ -137,7 +140,7 @@
         )
         if not gain_s:
             return None
-        if is_made:
+        if takes_slot:
             self._take_slot(target)
         return self._move(run, left, stay_s, gain_s, moves.Cause.FASTER)
 
--- a/packages/decisions/anvilwell_decisions/batches/paces.py
+++ b/packages/decisions/anvilwell_decisions/batches/paces.py
@@ -124,7 +124,7 @@
         self._slowdown = None
 
     def record_load(self, load, now):
-        """Process an `observations.Observation` reported by the replica.
+        """Process an `server_loads.ServerLoad` reported by the replica.
 
         Contention only marks the beginning of a slowdown before the events
         show it. Whether it is one, and for how long, is decided by the gaps
--- a/packages/decisions/anvilwell_decisions/batches/slots.py
+++ b/packages/decisions/anvilwell_decisions/batches/slots.py
@@ -2,7 +2,7 @@
 
 A service whose batches exceed the capacity of one VM has several homes, each
 for some of its models. If every home used all slots, replicas would be
-overloaded several times. So every replica is assigned to one home, its owner;
+filled several times over. So every replica is assigned to one home, its owner;
 all that know the same homes compute the same owner. A home whose own slots are
 taken borrows slots from a home without waiting items. Loans are short: the
 borrower repeatedly reports which slots it uses, and the lender may use all
@@ -102,7 +102,7 @@
         """The other homes, () if there is only one home."""
         if len(self._homes) < 2:
             return ()
-        return tuple(one for one in self._homes if one != self._vm_id)
+        return tuple(home for home in self._homes if home != self._vm_id)
 
     def set_homes(self, homes):
         """Set the service's homes; a change drops all loans."""
@@ -172,10 +172,10 @@
         lent = self.lent_count(now) + sum(counts_by_replica.values())
         available = min(request.wanted, int(LENT_SHARE * slots) - lent)
         by_free_slots = sorted(
-            free_slots_by_replica.items(), key=lambda one: -one[1]
+            free_slots_by_replica.items(), key=lambda pair: -pair[1]
         )
         for replica_id, free_slots in by_free_slots:
-            # The free slots don't include those lent until now.
+            # Slots of the loan that ends here don't count as free yet.
             count = max(
                 0, min(free_slots + freed_by_replica[replica_id], available)
             )
@@ -206,10 +206,10 @@
             dict(using_by_replica), now + LOAN_S
         )
 
-    def record_loan(self, lender, counts_by_replica, asked_at):
-        """Record a lender's answer to the request sent at `asked_at`."""
+    def record_loan(self, lender, counts_by_replica, requested_at):
+        """Record a lender's answer to the request sent at `requested_at`."""
         self._borrowed_by_lender[lender] = _Loan(
-            counts_by_replica, asked_at + LOAN_S
+            counts_by_replica, requested_at + LOAN_S
         )
 
 
--- a/packages/decisions/anvilwell_decisions/batches/workers.py
+++ b/packages/decisions/anvilwell_decisions/batches/workers.py
@@ -53,13 +53,10 @@
             self._version_by_model[model] = max(known, version)
 
     def may_have_version(self, model, min_version):
-        (
-            """Return whether the version of `model` here may be new enough.
+        """Return whether the version of `model` here may be new enough.
 
         It is False only if the version is known to be too old.
         """
-            ""
-        )
         known = self._version_by_model.get(model, 0)
         return not known or known >= min_version
 
@@ -75,7 +72,7 @@
 
 
 def can_start_once_free(worker, item, now):
-    """Return whether `worker` could start it if it had a free slot."""
+    """Return whether `worker` could start the item given a free slot."""
     replica = worker.replica
     return (
         replica.service == item.service
--- a/packages/decisions/anvilwell_decisions/duties/usage.py
+++ b/packages/decisions/anvilwell_decisions/duties/usage.py
@@ -103,18 +103,18 @@
         """Return the start and end of a window, in seconds of true time."""
         return window * self._window_s, (window + 1) * self._window_s
 
-    def add(self, told):
+    def add(self, received):
         """Add `ProcessCounts`; they replace earlier ones of the process."""
-        known = self.counts_by_incarnation.get(told.life)
-        if known is None or told.number >= known.number:
-            self.counts_by_incarnation[told.life] = told
+        known = self.counts_by_incarnation.get(received.life)
+        if known is None or received.number >= known.number:
+            self.counts_by_incarnation[received.life] = received
 
     def forget(self, before):
         """Drop counts that end before true time `before`."""
         self.counts_by_incarnation = {
-            life: told
-            for life, told in self.counts_by_incarnation.items()
-            if told.through >= before
+            incarnation: received
+            for incarnation, received in self.counts_by_incarnation.items()
+            if received.through >= before
         }
 
     def is_known(self, window):
@@ -125,24 +125,24 @@
         """
         start, end = self.bounds(window)
         return any(
-            told.since <= start and told.through >= end
-            for told in self.counts_by_incarnation.values()
+            received.since <= start and received.through >= end
+            for received in self.counts_by_incarnation.values()
         )
 
     def is_complete(self, window, incarnations):
         """Return whether all `incarnations` reported the whole window."""
         _, end = self.bounds(window)
         return all(
-            life in self.counts_by_incarnation
-            and self.counts_by_incarnation[life].through >= end
-            for life in incarnations
+            incarnation in self.counts_by_incarnation
+            and self.counts_by_incarnation[incarnation].through >= end
+            for incarnation in incarnations
         )
 
     def report(self, window):
         """Return the `WindowReport` of a window."""
         total = collections.Counter()
-        for told in self.counts_by_incarnation.values():
-            for counts in told.counts:
+        for received in self.counts_by_incarnation.values():
+            for counts in received.counts:
                 if counts.window == window:
                     total.update(counts.by_organisation)
         return WindowReport(window, dict(total))
--- a/packages/decisions/anvilwell_decisions/outages/paths.py
+++ b/packages/decisions/anvilwell_decisions/outages/paths.py
@@ -5,14 +5,14 @@
 # Failures in a row after which the direct path is left; one lost response is
 # no outage. Two take 1.1 s of renewals, so that the lease of 3.5 s has a
 # second left for the path through a peer.
-FAILURES = 2
+FAILURES_TO_SWITCH = 2
 # A peer that failed is not used for this long, in seconds: about the time to
 # try two others, so that each is tried before this one again.
-PAUSE_S = 1.0
+PEER_PAUSE_S = 1.0
 # Once every peer has failed too, the outage affects all VMs, and the direct
 # path is kept for this long, in seconds. Without this a VM would try ten paths
 # a second while the service is down, each with a line in the log.
-HOLD_S = 3.0
+DIRECT_HOLD_S = 3.0
 
 
 class PathChoice:
@@ -72,21 +72,21 @@
             Monotonic time, s.
         """
         if path != DIRECT:
-            self._paused_until_by_vm[path] = now + PAUSE_S
+            self._paused_until_by_vm[path] = now + PEER_PAUSE_S
         if path != self.current or began_at < self._failed_at:
             return False
         self._failed_at = now
         self._failures += 1
-        is_kept = self._failures < FAILURES or now < self._held_until
+        is_kept = self._failures < FAILURES_TO_SWITCH or now < self._held_until
         if path == DIRECT and is_kept:
             return False
         self._failures = 0
-        self.current = self._next(now)
+        self.current = self._choose_path(now)
         if self.current == DIRECT:
-            self._held_until = now + HOLD_S
+            self._held_until = now + DIRECT_HOLD_S
         return self.current != path
 
-    def _next(self, now):
+    def _choose_path(self, now):
         usable = sorted(
             vm_id
             for vm_id in self._peers
--- a/packages/decisions/tests/batches/test_dispatch.py
+++ b/packages/decisions/tests/batches/test_dispatch.py
@@ -171,10 +171,10 @@
     return _item(item_id=item_id)._replace(prompt=facts.Prompt(tokens))
 
 
-def _assign(dispatch, work, now=NOW):
-    replica_id = dispatch.choose_replica(work, now)
+def _assign(dispatch, item, now=NOW):
+    replica_id = dispatch.choose_replica(item, now)
     if replica_id:
-        dispatch.record_assignment(work, replica_id)
+        dispatch.record_assignment(item, replica_id)
     return replica_id
 
 
--- a/packages/decisions/tests/outages/test_paths.py
+++ b/packages/decisions/tests/outages/test_paths.py
@@ -22,7 +22,7 @@
 
 
 def _leave_direct(choice):
-    for number in range(paths.FAILURES):
+    for number in range(paths.FAILURES_TO_SWITCH):
         _fail(choice, paths.DIRECT, number * 0.1)
 
 
@@ -76,7 +76,7 @@
     _fail(choice, "entry-1", 0.2)
     for number in range(20):
         assert not _fail(choice, paths.DIRECT, 0.3 + number * 0.1)
-    assert _fail(choice, paths.DIRECT, 0.2 + paths.HOLD_S)
+    assert _fail(choice, paths.DIRECT, 0.2 + paths.DIRECT_HOLD_S)
 
 
 def test_a_response_on_the_direct_path_ends_the_use_of_a_peer():
@@ -145,7 +145,7 @@
             if self.choice.current in usable:
                 return
             _fail(self.choice, self.choice.current, self.now)
-            self.now += paths.PAUSE_S / 4
+            self.now += paths.PEER_PAUSE_S / 4
         raise AssertionError(f"stuck on {self.choice.current!r}")
 
     @stateful.invariant()
