--- a/packages/client/anvilwell_client/commands/apply.py
+++ b/packages/client/anvilwell_client/commands/apply.py
@@ -61,11 +61,13 @@
     lines = [_verdict_line(applied)]
     printer.show(options, applied, lines)
     for text in [*applied["problems"], *_missing(applied)]:
-        commandline.tell(text)
+        commandline.print_message(text)
     if applied["outcome"] is operators.Outcome.REFUSED:
-        commandline.tell(f"refused: {_refusal_line(applied['reason'], path)}")
+        commandline.print_message(
+            f"refused: {_refusal_line(applied['reason'], path)}"
+        )
     if applied["outcome"] is operators.Outcome.UNKNOWN:
-        commandline.tell(
+        commandline.print_message(
             "settle it when entries answer again: anvilwell apply"
             f" --change_id={change.change_id}"
             f" --expected_generation={change.expected_generation} {path}"
--- a/packages/daemon/anvilwell_daemon/config/settings.py
+++ b/packages/daemon/anvilwell_daemon/config/settings.py
@@ -64,14 +64,14 @@
     return found
 
 
-def _problem(section, key, what, mend):
-    return problems.Problem("", section, key, what, mend)
+def _problem(section, key, what, fix):
+    return problems.Problem("", section, key, what, fix)
 
 
 def _keyvalue_problems(keyvalue):
     if keyvalue is not None and not keyvalue.endpoints:
-        mend = "give ip:port of the platform's key-value service"
-        yield _problem("keyvalue", "endpoints", "names no address", mend)
+        fix = "give ip:port of the platform's key-value service"
+        yield _problem("keyvalue", "endpoints", "names no address", fix)
 
 
 def _role_problems(role, sections_by_name):
--- a/packages/daemon/anvilwell_daemon/entry/relay.py
+++ b/packages/daemon/anvilwell_daemon/entry/relay.py
@@ -47,7 +47,7 @@
         self._new_mailbox = new_mailbox
         self._only = only
         self._deadline = tools.clock.monotonic() + call.deadline_s
-        self._task_ids = logs.task_ids()
+        self._task_ids = logs.new_task_id_factory()
         self._attempts = 0
         self._verdict = verdicts.Verdict.NOT_RUN
         self._tried = set()
--- a/packages/daemon/anvilwell_daemon/peers/registry.py
+++ b/packages/daemon/anvilwell_daemon/peers/registry.py
@@ -29,7 +29,7 @@
             If another class of one's name is declared; then none is.
         """
         new = [kind for kind in kinds if kind not in self._kinds]
-        codec.check_names([*self._kinds, *new])
+        codec.check_unique_names([*self._kinds, *new])
         self._kinds.extend(new)
         self._codec = None
 
--- a/packages/daemon/anvilwell_daemon/reference/schemas.py
+++ b/packages/daemon/anvilwell_daemon/reference/schemas.py
@@ -19,8 +19,8 @@
 
 
 def _section(spec):
-    if spec.is_open:
-        return [f"Any key; for each {loader.mend_of_value(spec)}."]
+    if spec.accepts_any_key:
+        return [f"Any key; for each {loader.fix_of_value(spec)}."]
     rows = [_option(spec, key) for key in spec.hints_by_key]
     return markdown.table(_HEADS, rows)
 
@@ -29,13 +29,13 @@
     hint = spec.hints_by_key[key]
     docs = [
         part.documentation
-        for part in loader.parts_of(hint)
+        for part in loader.type_parts(hint)
         if isinstance(part, typing_extensions.Doc)
     ]
     return (
         f"`{key}`",
         " ".join(docs),
-        loader.mend_of(hint),
+        loader.fix_of(hint),
         _default(spec, key),
     )
 
--- a/packages/daemon/tests/reference/test_pages.py
+++ b/packages/daemon/tests/reference/test_pages.py
@@ -68,7 +68,7 @@
     # The provider is the process's: after tests of the gateway the page
     # has its metrics too, which the operators' page lists.
     provider.start()
-    counters.record_answer("GET /x", 200, 0.001)
+    counters.record_response("GET /x", 200, 0.001)
     operations = (DOCS / "OPERATIONS.md").read_text()
     names = (
         *(metric.name for metric in metrics.find()),
--- a/packages/kernel/anvilwell_kernel/bodies.py
+++ b/packages/kernel/anvilwell_kernel/bodies.py
@@ -10,7 +10,7 @@
 _TOO_LARGE = "Request Entity Too Large"
 
 
-class WholeBody:
+class CheckedBody:
     """A WSGI input stream that never passes a cut body for a whole one.
 
     Parameters
@@ -33,13 +33,13 @@
         try:
             data = self._stream.read(size)
         except (errors.MaxSizeExceeded, OSError, ValueError) as error:
-            raise _refusal(error) from error
+            raise _to_bad_request(error) from error
         if not data and size != 0 and getattr(self._stream, "remaining", 0):
             raise exceptions.BadRequest("body ends before its stated length")
         return data
 
 
-def _refusal(error):
+def _to_bad_request(error):
     if isinstance(error, errors.MaxSizeExceeded) or _TOO_LARGE in str(error):
         refusal = exceptions.BadRequest(
             "body is too large", reason=reasons.Refusal.BODY_TOO_LARGE
--- a/packages/kernel/anvilwell_kernel/commandline.py
+++ b/packages/kernel/anvilwell_kernel/commandline.py
@@ -55,7 +55,7 @@
     try:
         return _run(program, _parse(program, argv))
     except app.UsageError as error:
-        tell(str(error))
+        print_message(str(error))
         return error.exitcode
     except SystemExit as error:
         return error.code
@@ -72,7 +72,7 @@
     return f"{head}\n\ncommands:\n{commands}\n\n{program.flag_values}\n"
 
 
-def tell(text):
+def print_message(text):
     """Write `text` for the person at the terminal, to stderr."""
     print(text, file=sys.stderr)
 
@@ -85,23 +85,23 @@
         rest = program.flag_values(argv, known_only=True)
         return flags.FLAGS(rest)
     except flags.Error as error:
-        tell(f"{program.name}: {error}; see {program.name} --help")
+        print_message(f"{program.name}: {error}; see {program.name} --help")
         sys.exit(os.EX_USAGE)
 
 
 def _run(program, argv):
-    command, args = _choose(program, argv[1:])
+    command, args = _select_command(program, argv[1:])
     try:
         return command.run(args, program.flag_values)
     except exceptions.ConfigurationError as error:
-        tell(error.message)
+        print_message(error.message)
         return os.EX_CONFIG
     except exceptions.AnvilwellError as error:
-        tell(f"{program.name}: {error.message}")
+        print_message(f"{program.name}: {error.message}")
         return _EXIT_CODES_BY_REASON.get(error.reason, os.EX_UNAVAILABLE)
 
 
-def _choose(program, words):
+def _select_command(program, words):
     known = ", ".join(program.commands_by_name)
     if not words or words[0] not in program.commands_by_name:
         found = repr(words[0]) if words else "nothing"
--- a/packages/kernel/anvilwell_kernel/config/loader.py
+++ b/packages/kernel/anvilwell_kernel/config/loader.py
@@ -15,7 +15,7 @@
 MAX_TEXT_BYTES = 256 << 10
 DELIMITERS = ("=",)
 COMMENT_PREFIXES = ("#", ";")
-_SHOWN_CHARS = 60
+_MAX_SHOWN_CHARS = 60
 _NO_DEFAULT_SECTION = "\0"
 
 
@@ -32,7 +32,7 @@
     adapter: pydantic.TypeAdapter
 
     @property
-    def is_open(self):
+    def accepts_any_key(self):
         """Whether the section takes any key (a ``dict`` type)."""
         return not self.hints_by_key
 
@@ -161,8 +161,8 @@
     ]
 
 
-def _syntax(what, mend, section="", key=""):
-    return problems.Problem("", section, key, what, mend)
+def _syntax(what, fix, section="", key=""):
+    return problems.Problem("", section, key, what, fix)
 
 
 def _unknown_sections(raw, specs_by_name):
@@ -196,54 +196,56 @@
 def _value_problem(spec, values, detail):
     key = str(detail["loc"][0])
     if detail["type"] == "missing":
-        mend = f"add {key} = ... ({mend_of(spec.hints_by_key[key])})"
+        fix = f"add {key} = ... ({fix_of(spec.hints_by_key[key])})"
         what = "missing"
-        return problems.Problem("", spec.name, key, what, mend)
-    if not spec.is_open and key not in spec.hints_by_key:
-        mend = problems.nearest_hint(key, spec.hints_by_key)
-        return problems.Problem("", spec.name, key, "unknown key", mend)
-    hint = _hint_of(spec, detail["loc"])
-    shown = "value" if is_secret(hint) else repr(values[key][:_SHOWN_CHARS])
+        return problems.Problem("", spec.name, key, what, fix)
+    if not spec.accepts_any_key and key not in spec.hints_by_key:
+        fix = problems.nearest_hint(key, spec.hints_by_key)
+        return problems.Problem("", spec.name, key, "unknown key", fix)
+    hint = _option_hint(spec, detail["loc"])
+    shown = (
+        "value" if is_secret(hint) else repr(values[key][:_MAX_SHOWN_CHARS])
+    )
     what = f"{shown} is wrong: {detail['msg']}"
-    mend = mend_of(hint) or "correct the value"
-    return problems.Problem("", spec.name, key, what, mend)
+    fix = fix_of(hint) or "correct the value"
+    return problems.Problem("", spec.name, key, what, fix)
 
 
-def _hint_of(spec, location):
-    if not spec.is_open:
+def _option_hint(spec, location):
+    if not spec.accepts_any_key:
         return spec.hints_by_key[location[0]]
     key_hint, value_hint = typing.get_args(spec.kind)
     return key_hint if "[key]" in location else value_hint
 
 
-def mend_of_value(spec):
+def fix_of_value(spec):
     """Return the mend of the values of an open section."""
-    return mend_of(typing.get_args(spec.kind)[1])
+    return fix_of(typing.get_args(spec.kind)[1])
 
 
 def is_secret(hint):
     """Return whether an option of type `hint` must not be shown."""
-    return any(part is pydantic.SecretStr for part in parts_of(hint))
+    return any(part is pydantic.SecretStr for part in type_parts(hint))
 
 
-def mend_of(hint):
+def fix_of(hint):
     """Return the text of the first `options.Mend` in `hint`, or ""."""
     texts = (
-        part.text for part in parts_of(hint) if isinstance(part, options.Mend)
+        part.text for part in type_parts(hint) if isinstance(part, options.Fix)
     )
-    return next(texts, "") or _choices_of(hint)
+    return next(texts, "") or _choices_fix(hint)
 
 
-def _choices_of(hint):
-    names = [part for part in parts_of(hint) if isinstance(part, str)]
+def _choices_fix(hint):
+    names = [part for part in type_parts(hint) if isinstance(part, str)]
     return f"give one of: {', '.join(names)}" if names else ""
 
 
-def parts_of(hint):
+def type_parts(hint):
     """Yield `hint` and all that it is made of, outermost first."""
     yield hint
     metadata = getattr(hint, "__metadata__", ())
     yield from metadata
     inner = (hint.__origin__,) if metadata else typing.get_args(hint)
     for part in inner:
-        yield from parts_of(part)
+        yield from type_parts(part)
--- a/packages/kernel/anvilwell_kernel/config/options.py
+++ b/packages/kernel/anvilwell_kernel/config/options.py
@@ -8,11 +8,11 @@
 import pydantic
 
 _DIGITS = r"[0-9]+"
-_ORDERED = r"(0|[1-9][0-9]*)"
+_DECIMAL = r"(0|[1-9][0-9]*)"
 _NAME = r"^[A-Za-z0-9]([A-Za-z0-9_.-]{0,61}[A-Za-z0-9])?$"
 
 
-class Mend(typing.NamedTuple):
+class Fix(typing.NamedTuple):
     """What to do if a value of this type is wrong."""
 
     text: str
@@ -59,47 +59,47 @@
 AddressOption = typing.Annotated[
     Address,
     pydantic.BeforeValidator(parse_address),
-    Mend("give an IP number and a port, such as 10.0.0.7:7300"),
+    Fix("give an IP number and a port, such as 10.0.0.7:7300"),
 ]
 AddressList = typing.Annotated[
     tuple[AddressOption, ...],
     pydantic.BeforeValidator(split_list),
-    Mend("give ip:port, ip:port, ..."),
+    Fix("give ip:port, ip:port, ..."),
 ]
 TextList = typing.Annotated[
     tuple[str, ...],
     pydantic.BeforeValidator(split_list),
-    Mend("give values with commas between them"),
+    Fix("give values with commas between them"),
 ]
 Share = typing.Annotated[
     float,
     pydantic.Field(ge=0, le=1, allow_inf_nan=False),
-    Mend("give a share from 0 to 1, such as 0.5"),
+    Fix("give a share from 0 to 1, such as 0.5"),
 ]
 Duration = typing.Annotated[
     float,
     pydantic.Field(gt=0, le=86400, allow_inf_nan=False),
-    Mend("give seconds above 0 and up to 86400, such as 2.5"),
+    Fix("give seconds above 0 and up to 86400, such as 2.5"),
 ]
 Rate = typing.Annotated[
     float,
     pydantic.Field(gt=0, allow_inf_nan=False),
-    Mend("give a number above 0, such as 1.0"),
+    Fix("give a number above 0, such as 1.0"),
 ]
 Count = typing.Annotated[
     int,
     pydantic.Field(ge=1, le=1 << 40),
-    Mend("give a whole number from 1 up"),
+    Fix("give a whole number from 1 up"),
 ]
 CountOrZero = typing.Annotated[
     int,
     pydantic.Field(ge=0, le=1 << 40),
-    Mend("give a whole number from 0 up"),
+    Fix("give a whole number from 0 up"),
 ]
 Name = typing.Annotated[
     str,
     pydantic.StringConstraints(pattern=_NAME),
-    Mend(
+    Fix(
         "use up to 63 letters, digits, '-', '_' and '.', with a letter "
         "or digit at both ends"
     ),
@@ -107,13 +107,13 @@
 # Without leading zeros: two versions must not be the same number.
 Version = typing.Annotated[
     str,
-    pydantic.StringConstraints(pattern=rf"^{_ORDERED}$", max_length=18),
-    Mend("give the version's number, such as 7"),
+    pydantic.StringConstraints(pattern=rf"^{_DECIMAL}$", max_length=18),
+    Fix("give the version's number, such as 7"),
 ]
-Flag = typing.Annotated[bool, Mend("give true or false")]
-Path = typing.Annotated[pathlib.Path, Mend("give a path")]
+Flag = typing.Annotated[bool, Fix("give true or false")]
+Path = typing.Annotated[pathlib.Path, Fix("give a path")]
 Secret = typing.Annotated[
     pydantic.SecretStr,
     pydantic.Field(min_length=1),
-    Mend("give the secret; its value is never shown"),
+    Fix("give the secret; its value is never shown"),
 ]
--- a/packages/kernel/anvilwell_kernel/config/problem.py
+++ b/packages/kernel/anvilwell_kernel/config/problem.py
@@ -14,13 +14,13 @@
     section: str
     key: str
     what: str
-    mend: str
+    fix: str
 
     def __str__(self):
         """Return one line for people."""
         parts = [self.source, f"[{self.section}]" if self.section else ""]
         place = " ".join(part for part in [*parts, self.key] if part)
-        return f"{place}: {self.what}; {self.mend}"
+        return f"{place}: {self.what}; {self.fix}"
 
 
 def nearest_hint(name, known):
--- a/packages/kernel/anvilwell_kernel/documents/calls.py
+++ b/packages/kernel/anvilwell_kernel/documents/calls.py
@@ -63,5 +63,5 @@
 CallList = typing.Annotated[
     tuple[CallOption, ...],
     pydantic.BeforeValidator(options.split_list),
-    options.Mend("give calls such as: POST /notices, PUT /changes/*"),
+    options.Fix("give calls such as: POST /notices, PUT /changes/*"),
 ]
--- a/packages/kernel/anvilwell_kernel/documents/checks.py
+++ b/packages/kernel/anvilwell_kernel/documents/checks.py
@@ -19,8 +19,8 @@
     return found
 
 
-def _problem(section, key, what, mend):
-    return problems.Problem("", section, key, what, mend)
+def _problem(section, key, what, fix):
+    return problems.Problem("", section, key, what, fix)
 
 
 def _newer_schema(service):
@@ -29,8 +29,8 @@
             f"schema {service.schema} is newer than this release knows "
             f"({document.SCHEMA})"
         )
-        mend = f"upgrade anvilwell, or write schema = {document.SCHEMA}"
-        yield _problem("service", "schema", what, mend)
+        fix = f"upgrade anvilwell, or write schema = {document.SCHEMA}"
+        yield _problem("service", "schema", what, fix)
 
 
 def _model_problems(sections_by_name):
@@ -40,8 +40,8 @@
         yield _problem("model", "", what, "add it, or write kind = plain")
     if model is not None and model.live_floor == 1:
         what = "1 leaves no replica that may load new weights"
-        mend = "give a share below 1, such as 0.5"
-        yield _problem("model", "live_floor", what, mend)
+        fix = "give a share below 1, such as 0.5"
+        yield _problem("model", "live_floor", what, fix)
     calls = sections_by_name.get("calls")
     if calls is not None and calls.non_idempotent:
         what = "is for kind plain, but the kind is model"
@@ -54,13 +54,13 @@
     trainers = sections_by_name.get("trainers")
     if traffic is not None and trainers and traffic.live_reserve == 1:
         what = "1 leaves nothing to the trainers"
-        mend = "give a share below 1, such as 0.2"
-        yield _problem("traffic", "live_reserve", what, mend)
+        fix = "give a share below 1, such as 0.2"
+        yield _problem("traffic", "live_reserve", what, fix)
 
 
 def _plain_problems(sections_by_name):
     for name in _MODEL_ONLY:
         if sections_by_name.get(name):
             what = "is for kind model, but the kind is plain"
-            mend = "remove it, or write kind = model"
-            yield _problem(name, "", what, mend)
+            fix = "remove it, or write kind = model"
+            yield _problem(name, "", what, fix)
--- a/packages/kernel/anvilwell_kernel/in_flight.py
+++ b/packages/kernel/anvilwell_kernel/in_flight.py
@@ -22,7 +22,7 @@
         """Count one request less."""
         with self._lock:
             self._count -= 1
-            self._tell_if_empty()
+            self._notify_if_empty()
 
     async def drain(self):
         """Note that it drains and wait until nothing is in flight."""
@@ -31,10 +31,10 @@
         with self._lock:
             self.is_draining = True
             self._on_empty = lambda: loop.call_soon_threadsafe(empty.set)
-            self._tell_if_empty()
+            self._notify_if_empty()
         await empty.wait()
 
-    def _tell_if_empty(self):
+    def _notify_if_empty(self):
         if self._on_empty and not self._count:
             self._on_empty()
             self._on_empty = None
--- a/packages/kernel/anvilwell_kernel/messages/codec.py
+++ b/packages/kernel/anvilwell_kernel/messages/codec.py
@@ -29,7 +29,7 @@
 
     def __init__(self, kinds):
         kinds = list(kinds)
-        check_names(kinds)
+        check_unique_names(kinds)
         self._adapters_by_name = {
             kind.__name__: pydantic.TypeAdapter(kind, config=_CONFIG)
             for kind in kinds
@@ -85,7 +85,7 @@
             ) from error
 
 
-def check_names(kinds):
+def check_unique_names(kinds):
     """Raise `exceptions.DuplicateKind` if two classes have one name."""
     kinds_by_name = {}
     for kind in kinds:
--- a/packages/kernel/anvilwell_kernel/strict_http.py
+++ b/packages/kernel/anvilwell_kernel/strict_http.py
@@ -20,15 +20,23 @@
 
 _LOG = logs.get_logger(__name__)
 
-_LENGTH = b"Content-Length"
-_ENCODING = b"Transfer-Encoding"
-_SINGLE = frozenset(
-    (_LENGTH, _ENCODING, b"Host", b"Content-Type", b"Authorization")
+_CONTENT_LENGTH = b"Content-Length"
+_TRANSFER_ENCODING = b"Transfer-Encoding"
+_SINGLE_VALUE_HEADERS = frozenset(
+    (
+        _CONTENT_LENGTH,
+        _TRANSFER_ENCODING,
+        b"Host",
+        b"Content-Type",
+        b"Authorization",
+    )
 )
-_SINGLE_PREFIXES = (b"Anvilwell-", b"Idempotency-")
-_LINE = re.compile(rb"[!#$%&'*+.^`|~0-9A-Za-z_-]+:[\t\x20-\x7e\x80-\xff]*\r\n")
-_REAP_INTERVAL_S = 1.0
-_UNREAD_BYTES = 64 << 10
+_SINGLE_VALUE_PREFIXES = (b"Anvilwell-", b"Idempotency-")
+_HEADER_LINE = re.compile(
+    rb"[!#$%&'*+.^`|~0-9A-Za-z_-]+:[\t\x20-\x7e\x80-\xff]*\r\n"
+)
+_DEADLINE_CHECK_INTERVAL_S = 1.0
+_MAX_DISCARDED_BYTES = 64 << 10
 
 
 class _CheckedLines:
@@ -39,7 +47,7 @@
 
     def readline(self):
         line = self._rfile.readline()
-        if line not in (b"", b"\r\n") and not _LINE.fullmatch(line):
+        if line not in (b"", b"\r\n") and not _HEADER_LINE.fullmatch(line):
             raise ValueError("Illegal header line.")
         return line
 
@@ -61,15 +69,19 @@
         if name in self and name not in server.comma_separated_headers:
             value = self._join(name, value)
         super().__setitem__(name, value)
-        if name == _LENGTH and not (value.isascii() and value.isdigit()):
+        if name == _CONTENT_LENGTH and not (
+            value.isascii() and value.isdigit()
+        ):
             raise ValueError("Malformed Content-Length Header.")
-        if name == _ENCODING and value.lower() != b"chunked":
+        if name == _TRANSFER_ENCODING and value.lower() != b"chunked":
             raise ValueError("Only the chunked transfer encoding is known.")
-        if _LENGTH in self and _ENCODING in self:
+        if _CONTENT_LENGTH in self and _TRANSFER_ENCODING in self:
             raise ValueError("Content-Length and Transfer-Encoding together.")
 
     def _join(self, name, value):
-        if name in _SINGLE or name.startswith(_SINGLE_PREFIXES):
+        if name in _SINGLE_VALUE_HEADERS or name.startswith(
+            _SINGLE_VALUE_PREFIXES
+        ):
             raise ValueError(f"Header {name.decode()} is given twice.")
         return b", ".join((self[name], value))
 
@@ -82,22 +94,22 @@
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self.inheaders = _Headers()
-        self.is_late = False
+        self.has_timed_out = False
 
     def parse_request(self):
         """Read the request line and headers, within the time limit."""
-        self.server.watch(self)
+        self.server.start_read_timer(self)
         try:
             super().parse_request()
         finally:
             if not self.ready:
-                self.server.forget(self)
+                self.server.cancel_read_timer(self)
 
     def read_request_headers(self):
         """Read the headers; return whether they are acceptable."""
         if not super().read_request_headers():
             return False
-        if _ENCODING in self.inheaders and not self.chunked_read:
+        if _TRANSFER_ENCODING in self.inheaders and not self.chunked_read:
             self.simple_response("400 Bad Request", "Chunks need HTTP/1.1.")
             return False
         return True
@@ -107,7 +119,7 @@
         try:
             super().respond()
         finally:
-            self.server.forget(self)
+            self.server.cancel_read_timer(self)
 
     def send_headers(self):
         """Send the head of the answer."""
@@ -126,7 +138,7 @@
     def simple_response(self, status, msg=""):
         """Refuse the request with a typed body; close the connection."""
         self.close_connection = True
-        code = 408 if self.is_late else int(str(status)[:3])
+        code = 408 if self.has_timed_out else int(str(status)[:3])
         self.status, headers, body = self.server.refuse(code, msg)
         self.outheaders = [
             (name.encode("latin-1"), value.encode("latin-1"))
@@ -171,20 +183,20 @@
         try:
             self.requests.put(conn)
         except queue.Full:
-            self._turn_away(conn)
+            self._reject(conn)
 
-    def watch(self, request):
+    def start_read_timer(self, request):
         """Begin the time limit of `request`."""
         deadline = time.monotonic() + self._read_limit_s
         self._deadlines_by_request[request] = deadline
 
-    def forget(self, request):
+    def cancel_read_timer(self, request):
         """End the time limit of `request`."""
         self._deadlines_by_request.pop(request, None)
 
     def serve(self):
         """Serve until stopped."""
-        reaper = threading.Thread(target=self._reap, daemon=True)
+        reaper = threading.Thread(target=self._abort_late_reads, daemon=True)
         reaper.start()
         super().serve()
 
@@ -198,29 +210,29 @@
         trace = tracebacks.format_exc() if traceback else ""
         _LOG.log("server-error", message=msg, level=level, traceback=trace)
 
-    def _turn_away(self, conn):
+    def _reject(self, conn):
         # This is the accepting thread: nothing here may wait.
         conn.socket.setblocking(False)
         try:
             # Unread data would have the kernel reset the refusal.
-            conn.socket.recv(_UNREAD_BYTES)
+            conn.socket.recv(_MAX_DISCARDED_BYTES)
         except OSError:
             # There was none after all.
             _LOG.log("nothing-to-read")
         Request(self, conn).simple_response("503", "Too many connections.")
         conn.close()
 
-    def _reap(self):
-        interval_s = min(_REAP_INTERVAL_S, self._read_limit_s / 4)
+    def _abort_late_reads(self):
+        interval_s = min(_DEADLINE_CHECK_INTERVAL_S, self._read_limit_s / 4)
         while not self._stopped.wait(interval_s):
             now = time.monotonic()
             for request, deadline in list(self._deadlines_by_request.items()):
                 if now > deadline and request.is_reading():
-                    self._cut(request)
+                    self._abort_read(request)
 
-    def _cut(self, request):
-        request.is_late = True
-        self.forget(request)
+    def _abort_read(self, request):
+        request.has_timed_out = True
+        self.cancel_read_timer(request)
         try:
             request.conn.socket.shutdown(socket.SHUT_RD)
         except OSError:
--- a/packages/kernel/anvilwell_kernel/telemetry/bounded.py
+++ b/packages/kernel/anvilwell_kernel/telemetry/bounded.py
@@ -13,11 +13,11 @@
 ROUTINE_RATE = 200.0
 ROUTINE_BURST = 400
 # Bytes that wait while nobody reads; a hundredth of the smallest VM.
-MAX_WAITING_BYTES = 1 << 20
+MAX_BUFFERED_BYTES = 1 << 20
 # Of these, routine lines may take half: lines on failures outlast them.
-MAX_ROUTINE_BYTES = MAX_WAITING_BYTES // 2
+MAX_BUFFERED_ROUTINE_BYTES = MAX_BUFFERED_BYTES // 2
 # At most one note a second says how many lines were left out.
-NOTE_S = 1.0
+NOTE_INTERVAL_S = 1.0
 
 
 class BoundedDestination:
@@ -38,37 +38,37 @@
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._clock = clock
-        self._waiting = collections.deque()
-        self._waiting_bytes = 0
+        self._buffer = collections.deque()
+        self._buffered_bytes = 0
         self._tokens = float(ROUTINE_BURST)
         self._refilled_at = clock()
-        self._left_out = 0
-        self._noted_at = clock()
+        self._dropped_lines = 0
+        self._last_note_at = clock()
 
     def __call__(self, message):
         """Write one message, or leave it out."""
         is_routine = message.pop(ROUTINE, False)
         now = self._clock()
         if is_routine and not self._take_token(now):
-            self._left_out += 1
+            self._dropped_lines += 1
             return
-        self._note(now)
+        self._write_drop_note(now)
         self._add(_line(message), is_routine)
         self.flush()
 
     def flush(self):
         """Write what can be written without waiting."""
-        while self._waiting:
-            data = self._waiting[0]
+        while self._buffer:
+            data = self._buffer[0]
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
                 return
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             if written < len(data):
-                self._waiting[0] = data[written:]
+                self._buffer[0] = data[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
 
     def close(self):
         """Write what can be written, and let the descriptor block again."""
@@ -77,12 +77,12 @@
             os.set_blocking(self._descriptor, True)
 
     def _add(self, data, is_routine):
-        most = MAX_ROUTINE_BYTES if is_routine else MAX_WAITING_BYTES
-        if self._waiting_bytes + len(data) > most:
-            self._left_out += 1
+        most = MAX_BUFFERED_ROUTINE_BYTES if is_routine else MAX_BUFFERED_BYTES
+        if self._buffered_bytes + len(data) > most:
+            self._dropped_lines += 1
             return
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
 
     def _take_token(self, now):
         refill = (now - self._refilled_at) * ROUTINE_RATE
@@ -93,14 +93,14 @@
         self._tokens -= 1
         return True
 
-    def _note(self, now):
-        if self._left_out and now - self._noted_at >= NOTE_S:
+    def _write_drop_note(self, now):
+        if self._dropped_lines and now - self._last_note_at >= NOTE_INTERVAL_S:
             note = {
                 "message_type": f"{__name__}:lines-left-out",
-                "lines": self._left_out,
+                "lines": self._dropped_lines,
             }
-            self._noted_at = now
-            self._left_out = 0
+            self._last_note_at = now
+            self._dropped_lines = 0
             self._add(_line(note), False)
 
 
--- a/packages/kernel/anvilwell_kernel/telemetry/counters.py
+++ b/packages/kernel/anvilwell_kernel/telemetry/counters.py
@@ -20,7 +20,7 @@
         " understood, by kind"
     ),
 )
-ANSWERS = _METER.create_histogram(
+HTTP_DURATION = _METER.create_histogram(
     "anvilwell_http_duration",
     unit="s",
     description="Time until the head of an HTTP answer, by rule and status",
@@ -46,9 +46,9 @@
     UNREADABLE.add(1, {"kind": kind})
 
 
-def record_answer(rule, status, duration_s):
+def record_response(rule, status, duration_s):
     """Record one HTTP answer and how long its head took."""
-    ANSWERS.record(duration_s, {"rule": rule, "status": status})
+    HTTP_DURATION.record(duration_s, {"rule": rule, "status": status})
 
 
 def register_reasons():
--- a/packages/kernel/anvilwell_kernel/telemetry/logs.py
+++ b/packages/kernel/anvilwell_kernel/telemetry/logs.py
@@ -58,7 +58,7 @@
     return action.serialize_task_id().decode() if action else ""
 
 
-def task_ids():
+def new_task_id_factory():
     """Return a function that gives a new id below the current action.
 
     Any thread may call it, also after it has left the action's context.
--- a/packages/kernel/anvilwell_kernel/web.py
+++ b/packages/kernel/anvilwell_kernel/web.py
@@ -150,7 +150,7 @@
         self._server = strict_http.Server(
             (host, port),
             self._application,
-            refuse=_refusal,
+            refuse=_render_refusal,
             read_limit_s=read_limit_s,
             numthreads=threads,
             request_queue_size=queue,
@@ -209,7 +209,7 @@
     def _application(self, environ, start_response):
         begun = time.monotonic()
         environ[_REQUEST_ID_KEY] = uuid.uuid4().hex
-        environ["wsgi.input"] = bodies.WholeBody(environ["wsgi.input"])
+        environ["wsgi.input"] = bodies.CheckedBody(environ["wsgi.input"])
         request = werkzeug.Request(environ)
         request.max_content_length = self._max_body_bytes
         self._in_flight.enter()
@@ -221,7 +221,7 @@
             self._in_flight.leave()
             raise
         duration_s = time.monotonic() - begun
-        counters.record_answer(endpoint, response.status_code, duration_s)
+        counters.record_response(endpoint, response.status_code, duration_s)
         return wsgi.ClosingIterator(chunks, self._in_flight.leave)
 
     def _respond(self, request):
@@ -235,9 +235,11 @@
         except exceptions.AnvilwellError as error:
             refusal = error
         except http_errors.HTTPException as error:
-            refusal = _from_status(error.code or 400, _text_of(error))
+            refusal = _error_from_status(
+                error.code or 400, _description_of(error)
+            )
         except Exception as error:
-            refusal = _from_fault(error)
+            refusal = _error_from_exception(error)
         counters.count_refusal(refusal.reason)
         return endpoint, error_response(refusal, request_id(request))
 
@@ -251,18 +253,18 @@
             )
 
 
-def _text_of(error):
+def _description_of(error):
     return error.description or error.name
 
 
-def _from_status(code, message):
+def _error_from_status(code, message):
     reason = _REASONS_BY_STATUS.get(code, reasons.Refusal.BAD_REQUEST)
     refusal = exceptions.BadRequest(message, reason=reason)
     refusal.status = code
     return refusal
 
 
-def _from_fault(error):
+def _error_from_exception(error):
     _LOG.log("fault", error=repr(error))
     return exceptions.AnvilwellError(
         "internal fault; the log says more",
@@ -270,9 +272,9 @@
     )
 
 
-def _refusal(code, message):
+def _render_refusal(code, message):
     status = http.HTTPStatus(code)
-    refusal = _from_status(code, message or status.phrase)
+    refusal = _error_from_status(code, message or status.phrase)
     if status is http.HTTPStatus.SERVICE_UNAVAILABLE:
         refusal.retry_after = OVERLOAD_RETRY_S
     counters.count_refusal(refusal.reason)
--- a/packages/kernel/tests/config/test_loader.py
+++ b/packages/kernel/tests/config/test_loader.py
@@ -67,7 +67,7 @@
         except exceptions.ConfigurationError as error:
             assert error.problems
             assert all(one.source == "x.ini" for one in error.problems)
-            assert all(one.what and one.mend for one in error.problems)
+            assert all(one.what and one.fix for one in error.problems)
 
 
 @pytest.mark.parametrize(
--- a/packages/kernel/tests/conftest.py
+++ b/packages/kernel/tests/conftest.py
@@ -10,7 +10,7 @@
 TIMEOUT_S = 20.0
 
 
-class Raw:
+class RawConnection:
     """Sends bytes to a server and reads what comes back."""
 
     def __init__(self, address):
@@ -49,9 +49,9 @@
     """Return a function that opens a raw connection to a server."""
     with contextlib.ExitStack() as stack:
 
-        def open_raw(server):
-            raw = Raw(server.address)
+        def open_connection(server):
+            raw = RawConnection(server.address)
             stack.callback(raw.close)
             return raw
 
-        yield open_raw
+        yield open_connection
--- a/packages/kernel/tests/messages/test_codec.py
+++ b/packages/kernel/tests/messages/test_codec.py
@@ -81,7 +81,7 @@
     assert CODEC.decode_all(CODEC.encode_all(messages)) == messages
 
 
-def decodes_or_refuses(frame):
+def check_decodes_or_raises_malformed(frame):
     """Whatever comes, no other error than a refusal may pass."""
     for decode in (CODEC.decode, CODEC.decode_all):
         try:
@@ -92,7 +92,7 @@
 
 @hypothesis.given(st.binary(max_size=300))
 def test_random_bytes(frame):
-    decodes_or_refuses(frame)
+    check_decodes_or_raises_malformed(frame)
 
 
 @hypothesis.given(MESSAGE, st.integers(0, 400), st.integers(0, 255))
@@ -100,7 +100,7 @@
     frame = bytearray(CODEC.encode(message))
     frame[place % len(frame)] = value
 
-    decodes_or_refuses(bytes(frame))
+    check_decodes_or_raises_malformed(bytes(frame))
 
 
 @hypothesis.given(MESSAGE, st.integers(0, 400))
@@ -114,7 +114,7 @@
 
 @hypothesis.given(JSON_LIKE)
 def test_other_data(data):
-    decodes_or_refuses(cbor2.dumps(data))
+    check_decodes_or_raises_malformed(cbor2.dumps(data))
 
 
 @pytest.mark.parametrize(
@@ -141,11 +141,11 @@
 
 
 def make_kind(module):
-    class Told(typing.NamedTuple):
+    class Ping(typing.NamedTuple):
         number: int
 
-    Told.__module__ = module
-    return Told
+    Ping.__module__ = module
+    return Ping
 
 
 def test_two_kinds_of_one_name_are_refused():
@@ -154,7 +154,7 @@
     with pytest.raises(exceptions.DuplicateKind) as caught:
         codecs.Codec([first, second])
     assert caught.value.message == (
-        "message Told is declared in leases and in rollout; rename one of them"
+        "message Ping is declared in leases and in rollout; rename one of them"
     )
 
 
--- a/packages/kernel/tests/telemetry/test_pages.py
+++ b/packages/kernel/tests/telemetry/test_pages.py
@@ -11,7 +11,7 @@
 from anvilwell_kernel.telemetry import pages
 
 
-class Part(services.Service):
+class FakeService(services.Service):
     name = "part"
     ready = False
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def kernel():
-    return services.Kernel([Part()])
+    return services.Kernel([FakeService()])
 
 
 @pytest.fixture
@@ -50,7 +50,7 @@
 
 
 def test_histograms_have_buckets_for_their_unit(get):
-    counters.record_answer("GET /x", 200, 0.003)
+    counters.record_response("GET /x", 200, 0.003)
 
     text = get("/metrics").data.decode()
 
--- a/packages/kernel/tests/test_services.py
+++ b/packages/kernel/tests/test_services.py
@@ -8,38 +8,38 @@
 from anvilwell_kernel import services
 
 
-class Part(services.Service):
+class FakeService(services.Service):
     """Notes what happens to it."""
 
-    def __init__(self, notes, name, *needs, fails=False):
+    def __init__(self, calls, name, *needs, fails=False):
         self.name = name
         self.needs = needs
-        self._notes = notes
+        self._calls = calls
         self._fails = fails
 
     async def start(self, kernel):
-        self._notes.append(f"start {self.name}")
+        self._calls.append(f"start {self.name}")
         if self._fails:
             raise exceptions.Refused("no")
 
     async def drain(self):
-        self._notes.append(f"drain {self.name}")
+        self._calls.append(f"drain {self.name}")
 
     async def stop(self):
-        self._notes.append(f"stop {self.name}")
+        self._calls.append(f"stop {self.name}")
 
 
 @pytest.fixture
-def notes():
+def calls():
     return []
 
 
-def test_lifecycle_follows_the_needs(notes):
+def test_lifecycle_follows_the_needs(calls):
     kernel = services.Kernel(
         [
-            Part(notes, "web", "dispatcher"),
-            Part(notes, "dispatcher", "links"),
-            Part(notes, "links"),
+            FakeService(calls, "web", "dispatcher"),
+            FakeService(calls, "dispatcher", "links"),
+            FakeService(calls, "links"),
         ]
     )
 
@@ -52,19 +52,19 @@
 
     up = ["links", "dispatcher", "web"]
     down = up[::-1]
-    assert notes == [
+    assert calls == [
         *(f"start {name}" for name in up),
         *(f"drain {name}" for name in down),
         *(f"stop {name}" for name in down),
     ]
 
 
-def test_failed_start_stops_what_was_started(notes):
+def test_failed_start_stops_what_was_started(calls):
     kernel = services.Kernel(
         [
-            Part(notes, "last", "second"),
-            Part(notes, "second", "first", fails=True),
-            Part(notes, "first"),
+            FakeService(calls, "last", "second"),
+            FakeService(calls, "second", "first", fails=True),
+            FakeService(calls, "first"),
         ]
     )
 
@@ -76,7 +76,7 @@
 
     asyncio.run(live())
 
-    assert notes == [
+    assert calls == [
         "start first",
         "start second",
         "stop second",
@@ -84,30 +84,34 @@
     ]
 
 
-def test_cycle_is_named(notes):
+def test_cycle_is_named(calls):
     kernel = services.Kernel(
-        [Part(notes, "a", "b"), Part(notes, "b", "c"), Part(notes, "c", "a")]
+        [
+            FakeService(calls, "a", "b"),
+            FakeService(calls, "b", "c"),
+            FakeService(calls, "c", "a"),
+        ]
     )
 
     with pytest.raises(exceptions.Conflict, match="a -> b -> c -> a"):
         asyncio.run(kernel.start())
-    assert not notes
+    assert not calls
 
 
-def test_missing_need_is_named(notes):
-    kernel = services.Kernel([Part(notes, "a", "absent")])
+def test_missing_need_is_named(calls):
+    kernel = services.Kernel([FakeService(calls, "a", "absent")])
 
     with pytest.raises(exceptions.NotFound, match="absent"):
         asyncio.run(kernel.start())
 
 
-def test_name_is_given_once(notes):
+def test_name_is_given_once(calls):
     with pytest.raises(exceptions.Conflict, match="'a'"):
-        services.Kernel([Part(notes, "a"), Part(notes, "a")])
+        services.Kernel([FakeService(calls, "a"), FakeService(calls, "a")])
 
 
-def test_lookup_by_name(notes):
-    part = Part(notes, "a")
+def test_lookup_by_name(calls):
+    part = FakeService(calls, "a")
     kernel = services.Kernel([part])
 
     assert kernel.get("a") is part
--- a/packages/kernel/tests/test_strict_http.py
+++ b/packages/kernel/tests/test_strict_http.py
@@ -8,7 +8,7 @@
 from anvilwell_kernel import web
 
 HOST = b"Host: x\r\n"
-MISLEADING = {
+AMBIGUOUS = {
     "length and chunks": (
         b"POST /echo HTTP/1.1\r\n" + HOST + b"Content-Length: 5\r\n"
         b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /echo"
@@ -55,15 +55,15 @@
 
 
 @pytest.fixture
-def seen():
+def received_bodies():
     return []
 
 
 @pytest.fixture
-def server(serve, seen):
+def server(serve, received_bodies):
     def echo(request):
-        seen.append(request.get_data())
-        return werkzeug.Response(seen[-1])
+        received_bodies.append(request.get_data())
+        return werkzeug.Response(received_bodies[-1])
 
     started = serve(read_limit_s=20.0)
     started.route("/echo", echo, None)
@@ -75,9 +75,9 @@
     return head, json.loads(body)["error"]
 
 
-@pytest.mark.parametrize("name", MISLEADING)
-def test_misleading_request_is_refused(name, server, connect, seen):
-    answer = connect(server).send(MISLEADING[name]).read_all()
+@pytest.mark.parametrize("name", AMBIGUOUS)
+def test_ambiguous_request_is_refused(name, server, connect, received_bodies):
+    answer = connect(server).send(AMBIGUOUS[name]).read_all()
 
     head, error = body_of(answer)
     assert head.startswith(b"HTTP/1.1 400 ")
@@ -85,10 +85,12 @@
     assert b"Anvilwell-Request-Id: " in head
     assert error["verdict"] == "not-run"
     assert error["reason"] == "bad-request"
-    assert seen == []
+    assert received_bodies == []
 
 
-def test_nothing_after_chunks_is_taken_for_a_request(server, connect, seen):
+def test_nothing_after_chunks_is_taken_for_a_request(
+    server, connect, received_bodies
+):
     smuggled = b"GET /echo HTTP/1.1\r\n" + HOST + b"\r\n"
     request = (
         b"POST /echo HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n"
@@ -98,7 +100,7 @@
     answer = connect(server).send(request).read_all()
 
     assert answer.count(b"HTTP/1.1 200") == 1
-    assert seen == [b"hello"]
+    assert received_bodies == [b"hello"]
 
 
 @pytest.mark.parametrize(
@@ -118,13 +120,13 @@
     assert error["verdict"] == "not-run"
 
 
-def test_oversized_header_is_refused(server, connect, seen):
+def test_oversized_header_is_refused(server, connect, received_bodies):
     line = b"X: " + b"x" * (2 * web.MAX_HEADER_BYTES) + b"\r\n"
 
     answer = connect(server).send(b"GET /echo HTTP/1.1\r\n" + line).read_all()
 
     assert answer == b"" or b" 413 " in answer
-    assert seen == []
+    assert received_bodies == []
 
 
 @pytest.mark.parametrize(
@@ -134,7 +136,7 @@
         b"Transfer-Encoding: chunked\r\n\r\n1e8480\r\n",
     ],
 )
-def test_oversized_body_is_refused(framing, server, connect, seen):
+def test_oversized_body_is_refused(framing, server, connect, received_bodies):
     request = b"POST /echo HTTP/1.1\r\n" + HOST + framing
 
     head, error = body_of(connect(server).send(request).read_all())
@@ -142,7 +144,7 @@
     assert head.startswith(b"HTTP/1.1 413 ")
     assert error["reason"] == "body-too-large"
     assert error["verdict"] == "not-run"
-    assert seen == []
+    assert received_bodies == []
 
 
 @pytest.mark.parametrize(
@@ -153,9 +155,9 @@
         b"POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhell",
     ],
 )
-def test_slow_client_is_cut_off(part, serve, connect, seen):
+def test_slow_client_is_cut_off(part, serve, connect, received_bodies):
     def echo(request):
-        seen.append(request.get_data())
+        received_bodies.append(request.get_data())
         return werkzeug.Response(b"")
 
     slow = serve(read_limit_s=0.2)
@@ -165,7 +167,7 @@
 
     assert head.startswith((b"HTTP/1.1 408 ", b"HTTP/1.1 400 "))
     assert error["verdict"] == "not-run"
-    assert seen == []
+    assert received_bodies == []
 
 
 def test_underscores_are_not_taken_for_dashes(serve, connect):
--- a/packages/kernel/tests/test_web.py
+++ b/packages/kernel/tests/test_web.py
@@ -16,7 +16,7 @@
 TIMEOUT_S = 20.0
 
 
-def ask(server, path, method="GET", **options):
+def fetch(server, path, method="GET", **options):
     host, port = server.address
     return urllib3.request(
         method,
@@ -34,7 +34,8 @@
     )
 
     answers = [
-        ask(server, "/id", headers={web.REQUEST_ID: "mine"}) for _ in range(2)
+        fetch(server, "/id", headers={web.REQUEST_ID: "mine"})
+        for _ in range(2)
     ]
 
     ids = [answer.headers[web.REQUEST_ID] for answer in answers]
@@ -49,7 +50,7 @@
     server = serve()
     server.route("/lost", refuse)
 
-    answer = ask(server, "/lost")
+    answer = fetch(server, "/lost")
 
     assert answer.status == 502
     assert answer.headers[web.VERDICT] == "may-have-run"
@@ -72,7 +73,7 @@
     server = serve()
     server.route("/fault", fail)
 
-    answer = ask(server, "/fault")
+    answer = fetch(server, "/fault")
 
     assert answer.status == 500
     assert answer.headers[web.VERDICT] == "may-have-run"
@@ -89,7 +90,7 @@
     server = serve()
     server.route("/echo", inject)
 
-    answer = ask(server, "/echo?value=a%0d%0aX-Forged:%20yes")
+    answer = fetch(server, "/echo?value=a%0d%0aX-Forged:%20yes")
 
     assert "X-Forged" not in answer.headers
     assert answer.headers[web.VERDICT]
@@ -103,7 +104,7 @@
     server = serve()
     server.route("/known", lambda request: web.json_response({}))
 
-    answer = ask(server, path, method)
+    answer = fetch(server, path, method)
 
     assert answer.status == status
     assert answer.headers[web.VERDICT] == "not-run"
@@ -119,7 +120,7 @@
         ("POST",),
     )
 
-    answer = ask(server, "/json", "POST", body=body)
+    answer = fetch(server, "/json", "POST", body=body)
 
     assert answer.status == 400
     assert answer.headers[web.REASON] == "bad-request"
@@ -145,7 +146,7 @@
     )
     answers = []
     caller = threading.Thread(
-        target=lambda: answers.append(ask(server, "/slow"))
+        target=lambda: answers.append(fetch(server, "/slow"))
     )
     caller.start()
     assert begun.wait(TIMEOUT_S)
@@ -153,8 +154,8 @@
     async def drain():
         drained = asyncio.create_task(server.drain())
         await asyncio.sleep(0)
-        refused = await asyncio.to_thread(ask, server, "/slow")
-        alive = await asyncio.to_thread(ask, server, "/alive")
+        refused = await asyncio.to_thread(fetch, server, "/slow")
+        alive = await asyncio.to_thread(fetch, server, "/alive")
         early = drained.done()
         release.set()
         await asyncio.wait_for(drained, TIMEOUT_S)
@@ -182,9 +183,9 @@
     server = serve(threads=1, queue=1)
     server.route("/slow", slow)
     with futures.ThreadPoolExecutor() as pool:
-        running = pool.submit(ask, server, "/slow")
+        running = pool.submit(fetch, server, "/slow")
         assert begun.wait(TIMEOUT_S)
-        waiting = [pool.submit(ask, server, "/slow") for _ in range(2)]
+        waiting = [pool.submit(fetch, server, "/slow") for _ in range(2)]
         refused, queued = futures.wait(
             waiting, TIMEOUT_S, return_when=futures.FIRST_COMPLETED
         )
