--- a/packages/decisions/tests/batches/test_after_an_outage.py
+++ b/packages/decisions/tests/batches/test_after_an_outage.py
@@ -32,14 +32,14 @@
 
 
 class _Step:
-    def __init__(self, rng, trainer, requested_at, whole):
+    def __init__(self, rng, trainer, requested_at, complete_groups):
         self.trainer = trainer
         self.requested_at = requested_at
         self.is_over = False
         self.missing_items = {}
         self.draw = rng.random()
-        self.worth = self.listed = whole
-        for group in range(whole, GROUPS):
+        self.worth = self.listed = complete_groups
+        for group in range(complete_groups, GROUPS):
             self.missing_items[group] = ITEMS
         self.waiting = [
             (_length_s(rng), group)
@@ -101,8 +101,8 @@
     def _at(self, at, action, *args):
         heapq.heappush(self._events, (at, next(self._count), action, *args))
 
-    def _request(self, trainer, requested_at, whole=0):
-        step = _Step(self._rng, trainer, requested_at, whole)
+    def _request(self, trainer, requested_at, complete_groups=0):
+        step = _Step(self._rng, trainer, requested_at, complete_groups)
         self._steps.append(step)
         self._at(max(self._now, requested_at + ABANDON_S), self._end, step)
 
--- a/packages/decisions/tests/duties/test_usage.py
+++ b/packages/decisions/tests/duties/test_usage.py
@@ -46,16 +46,16 @@
     st.lists(st.tuples(st.sampled_from("abc"), st.floats(0, 60)), max_size=50),
     st.floats(0, 1e9),
 )
-def test_each_request_is_in_one_window(begun, offset_s):
+def test_each_request_is_in_one_window(requests, offset_s):
     counter = usage.RequestCounter()
-    for organisation, at in begun:
+    for organisation, at in requests:
         counter.add(organisation, at)
 
     counted = sum(
         sum(counts.by_organisation.values())
         for counts in counter.counts(offset_s, WINDOW_S)
     )
-    assert counted == len(begun)
+    assert counted == len(requests)
 
 
 def test_a_report_sums_all_processes_and_counts_nothing_twice():
--- a/packages/decisions/tests/traffic/test_organisations.py
+++ b/packages/decisions/tests/traffic/test_organisations.py
@@ -34,10 +34,10 @@
 
 
 def test_without_organisations_no_key_is_needed():
-    nobody = organisations.Organisations()
+    without_keys = organisations.Organisations()
 
-    assert nobody.sender([], is_open=False) is None
-    assert nobody.sender(["x"], is_open=False) is None
+    assert without_keys.sender([], is_open=False) is None
+    assert without_keys.sender(["x"], is_open=False) is None
 
 
 def test_a_moved_key_identifies_the_new_organisation():
