--- a/packages/kernel/anvilwell_kernel/__init__.py
+++ b/packages/kernel/anvilwell_kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Named services, lifecycle, settings, messages and telemetry."""
+"""What all processes share: services, settings, messages, telemetry."""
--- a/packages/kernel/anvilwell_kernel/bodies.py
+++ b/packages/kernel/anvilwell_kernel/bodies.py
@@ -1,4 +1,4 @@
-"""Reads request bodies whole, or says what is wrong with them."""
+"""Reads request bodies and rejects those that are incomplete."""
 
 import http
 
@@ -11,31 +11,35 @@
 
 
 class CheckedBody:
-    """A WSGI input stream that never passes a cut body for a whole one.
+    """A WSGI input stream that raises if the body is truncated.
 
     Parameters
     ----------
     stream : file-like
-        The server's stream; one of known length has ``remaining``.
+        The server's stream. If the request has a Content-Length, its
+        attribute ``remaining`` is the number of bytes not yet read.
     """
 
     def __init__(self, stream):
         self._stream = stream
 
     def read(self, size=None):
-        """Return up to `size` bytes, b"" only at the body's true end.
+        """Return up to `size` bytes, or b"" after the last byte of the body.
 
         Raises
         ------
         exceptions.BadRequest
-            If the body is too large, malformed, cut or too slow.
+            If the body is too large, malformed or truncated, or if it
+            does not arrive in time.
         """
         try:
             data = self._stream.read(size)
         except (errors.MaxSizeExceeded, OSError, ValueError) as error:
             raise _to_bad_request(error) from error
         if not data and size != 0 and getattr(self._stream, "remaining", 0):
-            raise exceptions.BadRequest("body ends before its stated length")
+            raise exceptions.BadRequest(
+                "body is shorter than its Content-Length"
+            )
         return data
 
 
--- a/packages/kernel/anvilwell_kernel/clock.py
+++ b/packages/kernel/anvilwell_kernel/clock.py
@@ -1,26 +1,26 @@
-"""Time as an argument, so that tests and benches can set it."""
+"""Clocks that are passed as arguments, so that tests can set the time."""
 
 import abc
 import time
 
 
 class Clock(abc.ABC):
-    """Source of monotonic and wall time, in seconds."""
+    """Source of monotonic time and wall-clock time, both in seconds."""
 
     @abc.abstractmethod
     def monotonic(self):
-        """Return monotonic time in seconds; only differences matter."""
+        """Return monotonic time; only differences are meaningful."""
 
     @abc.abstractmethod
     def wall(self):
-        """Return seconds since the epoch; for people, never for logic."""
+        """Return seconds since the epoch; for display, never for logic."""
 
 
 class SystemClock(Clock):
-    """The machine's own clocks."""
+    """The clocks of the operating system."""
 
     def monotonic(self):
-        """Return boot time, which goes on while the VM is suspended."""
+        """Return the boot-time clock, which also runs during VM suspension."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self):
@@ -29,7 +29,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to."""
+    """A clock for tests that moves only when `advance` is called."""
 
     def __init__(self, now=0.0):
         self.now = now
@@ -43,6 +43,6 @@
         return self.now
 
     def advance(self, seconds):
-        """Move on by `seconds` and return the new time."""
+        """Advance the clock by `seconds` and return the new time."""
         self.now += seconds
         return self.now
--- a/packages/kernel/anvilwell_kernel/commandline.py
+++ b/packages/kernel/anvilwell_kernel/commandline.py
@@ -1,4 +1,4 @@
-"""Command lines with sub-commands, on absl."""
+"""Command lines with sub-commands, built on absl."""
 
 import functools
 import os
@@ -19,11 +19,11 @@
 
 
 class Command(typing.NamedTuple):
-    """A sub-command.
+    """A sub-command of a program.
 
-    ``run`` takes the arguments and the program's flag values and
-    returns an exit code; ``parameters`` are the arguments' names and
-    ``about`` is one line of help.
+    ``run`` takes the positional arguments and the program's flag values
+    and returns an exit code. ``parameters`` holds the names of the
+    positional arguments, and ``about`` is one line of help.
     """
 
     run: typing.Callable[[list, flags.FlagValues], int]
@@ -32,7 +32,7 @@
 
 
 class Program(typing.NamedTuple):
-    """A binary; its flags are apart from those of other programs."""
+    """A binary with its sub-commands and its own set of flags."""
 
     name: str
     about: str
@@ -42,7 +42,7 @@
 
 def main(program):
     """Run `program` with the process's arguments and exit."""
-    # absl's --help shows the doc string of the main module.
+    # For --help, absl prints the docstring of the main module.
     sys.modules["__main__"].__doc__ = usage(program)
     app.run(
         functools.partial(_run, program),
@@ -73,7 +73,7 @@
 
 
 def print_message(text):
-    """Write `text` for the person at the terminal, to stderr."""
+    """Print `text` to stderr, where the user at the terminal sees it."""
     print(text, file=sys.stderr)
 
 
--- a/packages/kernel/anvilwell_kernel/config/__init__.py
+++ b/packages/kernel/anvilwell_kernel/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and documents in INI with a declared, typed schema."""
+"""Settings and documents: INI text that a typed schema describes."""
--- a/packages/kernel/anvilwell_kernel/config/loader.py
+++ b/packages/kernel/anvilwell_kernel/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads INI text against a schema and reports all problems at once."""
+"""Parses INI text by a schema and reports all problems at once."""
 
 import configparser
 import functools
@@ -20,9 +20,11 @@
 
 
 class SectionSpec(typing.NamedTuple):
-    """A section of a schema; ``kind`` is its type without ``None``.
+    """A section of a schema.
 
-    ``adapter`` checks its options; making one costs milliseconds.
+    ``kind`` is the type of the section without ``None``. ``adapter``
+    validates its options; it is kept because it takes milliseconds to
+    build.
     """
 
     name: str
@@ -33,15 +35,15 @@
 
     @property
     def accepts_any_key(self):
-        """Whether the section takes any key (a ``dict`` type)."""
+        """Whether the section, of a ``dict`` type, accepts any key."""
         return not self.hints_by_key
 
 
 def load(path, schema, checks=()):
     """Return the typed settings in the file at `path`.
 
-    Takes and raises what `loads` does, and also reports a file that
-    can't be read as a problem.
+    The other parameters and the exception are those of `loads`. A file
+    that can't be read is reported as a problem.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -63,15 +65,15 @@
     Parameters
     ----------
     text : str
-        INI text; ``;`` begins a comment, keys are case-sensitive.
+        INI text; ``;`` starts a comment, and keys are case-sensitive.
     schema : type
-        ``NamedTuple`` whose fields are sections: ``NamedTuple`` types
-        with typed options, or ``dict`` types with any key.
+        ``NamedTuple`` whose fields are the sections. The type of a section
+        is a ``NamedTuple`` with typed options, or a ``dict`` for any keys.
     source : str
-        Where the text is from; the first part of each problem.
+        Origin of the text, such as its path; each problem starts with it.
     checks : iterable of callable
-        Each takes ``sections_by_name`` (only the sections that are
-        valid) and yields a `problem.Problem` for each contradiction.
+        Each takes ``sections_by_name``, which holds only the valid sections,
+        and yields a `problem.Problem` for each contradiction.
 
     Raises
     ------
@@ -95,7 +97,7 @@
 
 @functools.cache
 def describe(schema):
-    """Return the `SectionSpec` of each section as specs_by_name."""
+    """Return the `SectionSpec` of each section of `schema`, by name."""
     hints = typing.get_type_hints(schema, include_extras=True)
     return {
         name: _describe_section(name, hint) for name, hint in hints.items()
@@ -118,7 +120,8 @@
     if len(text.encode()) > MAX_TEXT_BYTES:
         what = f"text is longer than {MAX_TEXT_BYTES} bytes"
         return {}, [problems.Problem("", "", "", what, "shorten it")]
-    # The strict reading stops at the first duplicate; the other doesn't.
+    # The strict parser stops at the first duplicate. The lax one ignores
+    # duplicates, so it finds the syntax errors after it.
     _, strict_problems = _read(text, strict=True)
     raw, lax_problems = _read(text, strict=False)
     return raw, list(dict.fromkeys(strict_problems + lax_problems))
@@ -144,16 +147,16 @@
 
 
 def _syntax_problems(error):
-    # The text of a line is not repeated: it may hold a secret.
+    # The line itself is not quoted, because it may contain a secret.
     if isinstance(error, configparser.DuplicateOptionError):
         what = f"line {error.lineno}: key is given twice"
         return [_syntax(what, "keep one", error.section, error.option)]
     if isinstance(error, configparser.DuplicateSectionError):
         what = f"line {error.lineno}: section is given twice"
-        return [_syntax(what, "join the two", error.section)]
+        return [_syntax(what, "merge the two", error.section)]
     if isinstance(error, configparser.MissingSectionHeaderError):
-        what = f"line {error.lineno}: stands before any section"
-        return [_syntax(what, "begin with a [section] line")]
+        what = f"line {error.lineno}: appears before any section"
+        return [_syntax(what, "start with a [section] line")]
     numbers = [number for number, _ in getattr(error, "errors", [])]
     return [
         _syntax(f"line {number}: is not 'key = value'", "correct the line")
@@ -219,17 +222,21 @@
 
 
 def fix_of_value(spec):
-    """Return the mend of the values of an open section."""
+    """Return the fix for a wrong value in a section with any keys."""
     return fix_of(typing.get_args(spec.kind)[1])
 
 
 def is_secret(hint):
-    """Return whether an option of type `hint` must not be shown."""
+    """Return whether the value of an option of type `hint` is secret."""
     return any(part is pydantic.SecretStr for part in type_parts(hint))
 
 
 def fix_of(hint):
-    """Return the text of the first `options.Mend` in `hint`, or ""."""
+    """Return the suggested fix for a wrong value of type `hint`, or "".
+
+    It is the text of the first `options.Fix` in `hint`, or otherwise the
+    list of its literal values.
+    """
     texts = (
         part.text for part in type_parts(hint) if isinstance(part, options.Fix)
     )
@@ -242,7 +249,7 @@
 
 
 def type_parts(hint):
-    """Yield `hint` and all that it is made of, outermost first."""
+    """Yield `hint`, its annotations and its type arguments, recursively."""
     yield hint
     metadata = getattr(hint, "__metadata__", ())
     yield from metadata
--- a/packages/kernel/anvilwell_kernel/config/options.py
+++ b/packages/kernel/anvilwell_kernel/config/options.py
@@ -1,4 +1,4 @@
-"""Types of options; each validates itself and carries its mend."""
+"""Types of options, each with its validation and a suggested fix."""
 
 import ipaddress
 import pathlib
@@ -13,30 +13,30 @@
 
 
 class Fix(typing.NamedTuple):
-    """What to do if a value of this type is wrong."""
+    """What the user should do if a value of the annotated type is wrong."""
 
     text: str
 
 
 class Address(typing.NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     def __str__(self):
-        """Return ``ip:port``, with brackets around IPv6."""
+        """Return ``ip:port``, with brackets around an IPv6 address."""
         host = f"[{self.host}]" if ":" in self.host else self.host
         return f"{host}:{self.port}"
 
 
 def parse_address(text):
-    """Return the `Address` that `text` (``ip:port``) names.
+    """Return the `Address` that `text`, as ``ip:port``, denotes.
 
     Raises
     ------
     ValueError
-        If the host is not an IP number or the port is not a number
+        If the host is not an IP address or the port is not a number
         from 0 to 65535.
     """
     if isinstance(text, Address):
@@ -50,7 +50,10 @@
 
 
 def split_list(text):
-    """Return the trimmed parts of a comma-separated `text`."""
+    """Return the items of a comma-separated `text`, without spaces around.
+
+    A value that is not a string is returned unchanged.
+    """
     if not isinstance(text, str):
         return text
     return tuple(part.strip() for part in text.split(",") if part.strip())
@@ -104,7 +107,8 @@
         "or digit at both ends"
     ),
 ]
-# Without leading zeros: two versions must not be the same number.
+# Leading zeros are not allowed, because two different version texts must not
+# stand for the same number.
 Version = typing.Annotated[
     str,
     pydantic.StringConstraints(pattern=rf"^{_DECIMAL}$", max_length=18),
--- a/packages/kernel/anvilwell_kernel/config/problem.py
+++ b/packages/kernel/anvilwell_kernel/config/problem.py
@@ -1,13 +1,14 @@
-"""One thing that is wrong in a settings file or document."""
+"""An error in a settings file or service document."""
 
 import difflib
 import typing
 
 
 class Problem(typing.NamedTuple):
-    """A problem, where it is, and what to do about it.
+    """An error in a settings file or document, with a suggested fix.
 
-    ``section`` and ``key`` are "" where the problem has none.
+    ``source``, ``section`` and ``key`` say where it is; ``section`` and
+    ``key`` are "" if it is not in any. ``what`` describes the error.
     """
 
     source: str
@@ -17,14 +18,14 @@
     fix: str
 
     def __str__(self):
-        """Return one line for people."""
+        """Return the problem as one line of readable text."""
         parts = [self.source, f"[{self.section}]" if self.section else ""]
         place = " ".join(part for part in [*parts, self.key] if part)
         return f"{place}: {self.what}; {self.fix}"
 
 
 def nearest_hint(name, known):
-    """Return the mend for a `name` that is none of `known`."""
+    """Return the suggested fix for a `name` that is not in `known`."""
     near = difflib.get_close_matches(name, list(known), n=1)
     if near:
         return f"did you mean {near[0]!r}?"
--- a/packages/kernel/anvilwell_kernel/config/writer.py
+++ b/packages/kernel/anvilwell_kernel/config/writer.py
@@ -1,4 +1,4 @@
-"""Writes typed settings as INI text."""
+"""Renders typed settings as INI text."""
 
 import configparser
 import io
@@ -11,8 +11,8 @@
 def render(settings):
     """Return `settings`, a ``NamedTuple`` of sections, as INI text.
 
-    Sections and options that are None are left out; secrets are
-    written as asterisks.
+    Sections and options that are None are omitted, and secrets are
+    replaced by asterisks.
     """
     parser = configparser.ConfigParser(interpolation=None, delimiters=("=",))
     parser.optionxform = str
@@ -38,7 +38,7 @@
 
 
 def render_value(value):
-    """Return one option's value as it is written in INI."""
+    """Return the value of an option as INI text."""
     if isinstance(value, pydantic.SecretStr):
         return HIDDEN
     if isinstance(value, bool):
--- a/packages/kernel/anvilwell_kernel/documents/__init__.py
+++ b/packages/kernel/anvilwell_kernel/documents/__init__.py
@@ -1,4 +1,4 @@
-"""The document in which a team describes its service."""
+"""Service documents, in which a team describes its service."""
 
 from anvilwell_kernel.documents import document
 from anvilwell_kernel.documents import editor
--- a/packages/kernel/anvilwell_kernel/documents/calls.py
+++ b/packages/kernel/anvilwell_kernel/documents/calls.py
@@ -1,4 +1,4 @@
-"""Which calls of a plain service are not idempotent."""
+"""Patterns for the calls of a plain service that are not idempotent."""
 
 import fnmatch
 import posixpath
@@ -15,20 +15,21 @@
 
 
 class Call(typing.NamedTuple):
-    """A method and a path pattern; ``*`` stands for any text."""
+    """An HTTP method and a path pattern; ``*`` matches any text."""
 
     method: str
     path: str
 
     def __str__(self):
-        """Return the call as it is written in a document."""
+        """Return the pattern as it is written in a service document."""
         return f"{self.method} {self.path}"
 
     def matches(self, method, path):
-        """Return whether a call of `path` by `method` is meant.
+        """Return whether the pattern matches `method` and `path`.
 
-        Other spellings of a path (``//notices/``, ``/%6eotices?x=1``)
-        match too: a backend server may take them for the same call.
+        Other spellings of a path, such as ``//notices/`` and
+        ``/%6eotices?x=1``, match too, because a backend server may treat
+        them as the same call.
         """
         if self.method not in ("*", method.upper()):
             return False
@@ -36,24 +37,24 @@
 
 
 def normal_path(path):
-    """Return `path` decoded, without query, and with single slashes."""
+    """Return `path` decoded, in lower case, normalised and without query."""
     bare = parse.unquote(path.partition("?")[0].partition("#")[0])
     return posixpath.normpath("/" + bare.lstrip("/")).lower()
 
 
 def parse_call(text):
-    """Return the `Call` that `text`, such as ``POST /notices``, names.
+    """Return the `Call` that `text`, such as ``POST /notices``, denotes.
 
     Raises
     ------
     ValueError
-        If it is not a known method and a path that begins with ``/``.
+        If the method is unknown or the path does not begin with ``/``.
     """
     if isinstance(text, Call):
         return text
     method, _, path = text.partition(" ")
     if method not in _METHODS:
-        raise ValueError(f"{method!r} is no HTTP method")
+        raise ValueError(f"{method!r} is not an HTTP method")
     if not path.strip().startswith("/"):
         raise ValueError(f"path {path.strip()!r} does not begin with '/'")
     return Call(method, path.strip())
--- a/packages/kernel/anvilwell_kernel/documents/checks.py
+++ b/packages/kernel/anvilwell_kernel/documents/checks.py
@@ -1,4 +1,4 @@
-"""Contradictions between the sections of a service document."""
+"""Checks for contradictions within a service document."""
 
 from anvilwell_kernel.config import problem as problems
 from anvilwell_kernel.documents import document
@@ -7,7 +7,7 @@
 
 
 def find_contradictions(sections_by_name):
-    """Return a `problem.Problem` for each contradiction."""
+    """Return a `problem.Problem` for each contradiction found."""
     service = sections_by_name.get("service")
     if service is None:
         return []
@@ -26,7 +26,7 @@
 def _newer_schema(service):
     if service.schema > document.SCHEMA:
         what = (
-            f"schema {service.schema} is newer than this release knows "
+            f"schema {service.schema} is newer than this release supports "
             f"({document.SCHEMA})"
         )
         fix = f"upgrade anvilwell, or write schema = {document.SCHEMA}"
@@ -39,7 +39,7 @@
         what = "missing, but the kind is model"
         yield _problem("model", "", what, "add it, or write kind = plain")
     if model is not None and model.live_floor == 1:
-        what = "1 leaves no replica that may load new weights"
+        what = "1 leaves no replica free to load new weights"
         fix = "give a share below 1, such as 0.5"
         yield _problem("model", "live_floor", what, fix)
     calls = sections_by_name.get("calls")
@@ -53,7 +53,7 @@
     traffic = sections_by_name.get("traffic")
     trainers = sections_by_name.get("trainers")
     if traffic is not None and trainers and traffic.live_reserve == 1:
-        what = "1 leaves nothing to the trainers"
+        what = "1 leaves no capacity for the trainers"
         fix = "give a share below 1, such as 0.2"
         yield _problem("traffic", "live_reserve", what, fix)
 
--- a/packages/kernel/anvilwell_kernel/documents/editor.py
+++ b/packages/kernel/anvilwell_kernel/documents/editor.py
@@ -1,4 +1,4 @@
-"""Changes one option of a document's text and leaves all else."""
+"""Changes the weight version in a document and preserves the rest."""
 
 import configupdater
 
@@ -8,23 +8,23 @@
 
 
 def set_version(text, version, source):
-    """Return `text` with another weight version; all else byte for byte.
+    """Return `text` with another weight version and no other change.
 
     Parameters
     ----------
     text : str
         A valid document of kind ``model``.
     version : str
-        The weight version.
+        The new weight version.
     source : str
-        Where the text is from; the first part of each problem.
+        Origin of the text; each problem starts with it.
 
     Raises
     ------
     exceptions.ConfigurationError
         If `text` is not valid.
     exceptions.Conflict
-        If it has no model.
+        If the document has no model section.
     """
     before = parser.parse(text, source)
     if before.model is None:
@@ -33,7 +33,8 @@
 
 
 def _edit(text, old, new):
-    # With inline comment prefixes it would drop indented comments.
+    # inline_comment_prefixes is not set, because ConfigUpdater would then drop
+    # indented comments.
     updater = configupdater.ConfigUpdater(
         delimiters=loader.DELIMITERS,
         comment_prefixes=loader.COMMENT_PREFIXES,
@@ -41,8 +42,9 @@
     )
     updater.optionxform = str
     updater.read_string(text)
-    # A valid version stands on the line of its key, right after "=";
-    # setting the option's value would lose spacing and inline comment.
+    # The line is edited as text, because setting the option's value would
+    # lose its spacing and inline comment. In a valid document the version is
+    # on the same line as its key and is the first text after "=".
     lines = updater["model"]["version"].lines
     key, delimiter, rest = "".join(lines).partition("=")
     lines[:] = [key + delimiter + rest.replace(old, new, 1)]
--- a/packages/kernel/anvilwell_kernel/documents/parser.py
+++ b/packages/kernel/anvilwell_kernel/documents/parser.py
@@ -1,4 +1,4 @@
-"""Reads and writes service documents."""
+"""Parses and renders service documents."""
 
 import hashlib
 
@@ -9,19 +9,19 @@
 
 
 def parse(text, source):
-    """Return the typed `document.Document` in `text`.
+    """Return the `document.Document` in `text`.
 
     Parameters
     ----------
     text : str
-        The document in INI.
+        The document as INI text.
     source : str
-        Where it is from; the first part of each problem.
+        Origin of the text; each problem starts with it.
 
     Raises
     ------
     exceptions.ConfigurationError
-        With every problem found, always in the same order.
+        With every problem found; their order is deterministic.
     """
     return loader.loads(
         text, document.Document, source, (checks.find_contradictions,)
@@ -29,10 +29,10 @@
 
 
 def render(parsed):
-    """Return `parsed` as INI text, every option with its value."""
+    """Return `parsed` as INI text with all options, also defaults."""
     return writer.render(parsed)
 
 
 def digest(text):
-    """Return a digest of `text` that two documents never share."""
+    """Return the SHA-256 digest of `text`, which identifies a document."""
     return hashlib.sha256(text.encode()).hexdigest()
--- a/packages/kernel/anvilwell_kernel/exceptions.py
+++ b/packages/kernel/anvilwell_kernel/exceptions.py
@@ -1,22 +1,24 @@
-"""The exception tree; each error carries a verdict and a reason."""
+"""The exception hierarchy; each error carries a verdict and a reason."""
 
 from anvilwell_kernel import reasons
 from anvilwell_kernel import verdict as verdicts
 
 
 class AnvilwellError(Exception):
-    """Base of all errors that the system raises on purpose.
+    """Base class of all errors that the system raises on purpose.
 
     Parameters
     ----------
     message : str
-        What is wrong and what to do next.
+        What is wrong and how to fix it.
     reason : reasons.Refusal, optional
-        The counted reason; the class default if omitted.
+        The reason under which the error is counted; the default of the
+        class if omitted.
     verdict : verdict.Verdict, optional
-        What is known of the request; the class default if omitted.
+        Whether the request may have run; the default of the class if
+        omitted.
     retry_after : float, optional
-        Seconds after which a retry may succeed.
+        Seconds that the caller should wait before it retries.
     """
 
     verdict = verdicts.Verdict.NOT_RUN
@@ -34,12 +36,12 @@
 
 
 class ConfigurationError(AnvilwellError):
-    """Settings or a service document are wrong.
+    """Settings or a service document are invalid.
 
     Parameters
     ----------
     problems : iterable of problem.Problem
-        Every problem found, each with its key and the mend.
+        Every problem found, each with its key and a suggested fix.
     """
 
     reason = reasons.Refusal.BAD_DOCUMENT
@@ -58,45 +60,45 @@
 
 
 class NotFound(AnvilwellError):
-    """What the request names does not exist."""
+    """The service or object that the request names does not exist."""
 
     reason = reasons.Refusal.UNKNOWN_SERVICE
     status = 404
 
 
 class UnknownKey(AnvilwellError):
-    """The request brings no key that an organisation has."""
+    """The request carries no API key, or one of no organisation."""
 
     reason = reasons.Refusal.UNKNOWN_KEY
     status = 401
 
 
 class Conflict(AnvilwellError):
-    """The request contradicts what is already accepted."""
+    """The request conflicts with something that was accepted before."""
 
     reason = reasons.Refusal.CONFLICT
     status = 409
 
 
 class Refused(AnvilwellError):
-    """The request was refused before it ran."""
+    """The request was refused before it was run."""
 
     reason = reasons.Refusal.OVERLOADED
     status = 503
 
 
 class MalformedMessage(AnvilwellError):
-    """A frame from a peer cannot be understood."""
+    """A frame from a peer cannot be decoded."""
 
     reason = reasons.Refusal.BAD_FRAME
 
 
 class DuplicateKind(AnvilwellError):
-    """Two classes of messages that share a codec have one name."""
+    """Two message classes of one codec have the same name."""
 
 
 class LinkLost(AnvilwellError):
-    """A link to a peer was lost; what it carried may have run."""
+    """A link to a peer was lost; requests sent over it may have run."""
 
     reason = reasons.Refusal.LINK_LOST
     verdict = verdicts.Verdict.MAY_HAVE_RUN
@@ -104,7 +106,7 @@
 
 
 class BackendFailed(AnvilwellError):
-    """A backend server failed while it had the request."""
+    """A backend server failed while it was handling the request."""
 
     reason = reasons.Refusal.BACKEND_FAILED
     verdict = verdicts.Verdict.MAY_HAVE_RUN
@@ -112,7 +114,7 @@
 
 
 class Timeout(AnvilwellError):
-    """The deadline passed while the request was under way."""
+    """The deadline passed while the request was in progress."""
 
     reason = reasons.Refusal.DEADLINE
     verdict = verdicts.Verdict.MAY_HAVE_RUN
@@ -120,7 +122,7 @@
 
 
 class KeyValueUnavailable(AnvilwellError):
-    """The key-value service gave no answer; a write may have landed."""
+    """The key-value service did not answer; a write may have been applied."""
 
     reason = reasons.Refusal.KEY_VALUE_UNAVAILABLE
     verdict = verdicts.Verdict.MAY_HAVE_RUN
@@ -128,7 +130,7 @@
 
 
 class Fenced(AnvilwellError):
-    """An order carried an old fencing number."""
+    """An order carried an outdated fencing number."""
 
     reason = reasons.Refusal.FENCED
     status = 409
--- a/packages/kernel/anvilwell_kernel/hop_by_hop.py
+++ b/packages/kernel/anvilwell_kernel/hop_by_hop.py
@@ -1,6 +1,6 @@
-"""Headers that concern one connection and are not passed on."""
+"""HTTP headers that apply to one connection and are not forwarded."""
 
-# RFC 9110, section 7.6.1; names are in lower case.
+# RFC 9110, section 7.6.1; the names are in lower case.
 HOP_BY_HOP = frozenset(
     (
         "connection",
--- a/packages/kernel/anvilwell_kernel/in_flight.py
+++ b/packages/kernel/anvilwell_kernel/in_flight.py
@@ -1,11 +1,11 @@
-"""Counts what is in flight, for the drain."""
+"""Counts the requests in flight, so that a drain can wait for them."""
 
 import asyncio
 import threading
 
 
 class InFlight:
-    """Counts the requests in flight; any thread may call."""
+    """Counts the requests in flight; its methods are thread-safe."""
 
     def __init__(self):
         self.is_draining = False
@@ -14,18 +14,18 @@
         self._on_empty = None
 
     def enter(self):
-        """Count one request more."""
+        """Count a request that has started."""
         with self._lock:
             self._count += 1
 
     def leave(self):
-        """Count one request less."""
+        """Count a request that has ended."""
         with self._lock:
             self._count -= 1
             self._notify_if_empty()
 
     async def drain(self):
-        """Note that it drains and wait until nothing is in flight."""
+        """Set `is_draining` and wait until no request is in flight."""
         loop = asyncio.get_running_loop()
         empty = asyncio.Event()
         with self._lock:
--- a/packages/kernel/anvilwell_kernel/reasons.py
+++ b/packages/kernel/anvilwell_kernel/reasons.py
@@ -1,10 +1,10 @@
-"""The counted reasons of refusals and retries."""
+"""The reasons by which refusals and retries are counted."""
 
 import enum
 
 
 class Refusal(enum.StrEnum):
-    """Why a request was refused or failed; one counter label each."""
+    """Why a request was refused or failed; each is a label of a counter."""
 
     INTERNAL = "internal"
     BAD_REQUEST = "bad-request"
@@ -43,7 +43,7 @@
 
 
 class Retry(enum.StrEnum):
-    """Why a request was tried again; one counter label each."""
+    """Why a request was retried; each is a label of a counter."""
 
     CONNECT_FAILED = "connect-failed"
     REFUSED_NOT_RUN = "refused-not-run"
--- a/packages/kernel/anvilwell_kernel/services.py
+++ b/packages/kernel/anvilwell_kernel/services.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: named services that find each other by name."""
+"""The registry and the lifecycle of the services of a process."""
 
 import abc
 import itertools
@@ -7,12 +7,12 @@
 
 
 class Service(abc.ABC):
-    """A part of a process with a name and a lifecycle.
+    """A component of a process with a name and a lifecycle.
 
-    All methods run on the process's event loop. ``start`` may look up
-    other services by name; those it needs are in ``needs`` and have
-    been started before it. ``in_flight`` names the requests that a
-    drain waits for.
+    All methods run on the process's event loop. ``needs`` holds the names
+    of the services that are started before this one; ``start`` may look
+    up other services by name. ``in_flight`` holds the ids of the requests
+    that a drain waits for.
     """
 
     name = None
@@ -20,21 +20,21 @@
     in_flight = ()
 
     async def start(self, kernel):
-        """Start; `kernel` finds the services this one needs."""
+        """Start the service; `kernel` gives access to other services."""
 
     async def drain(self):
-        """Take no new work and wait for work in flight to end."""
+        """Accept no new work and wait until work in flight has ended."""
 
     async def stop(self):
-        """Release everything; never fails on a half-started service."""
+        """Release all resources; must not fail after an incomplete start."""
 
     def is_ready(self):
-        """Return whether the service can do its work now."""
+        """Return whether the service can do its work at the moment."""
         return True
 
 
 class Kernel:
-    """Holds the services of one process and runs their lifecycle."""
+    """Starts, drains and stops the services of one process."""
 
     def __init__(self, services=()):
         self._services_by_name = {}
@@ -44,7 +44,7 @@
             self.add(service)
 
     def add(self, service):
-        """Register `service`; its name must be free."""
+        """Register `service` under its name, which must be unique."""
         if service.name in self._services_by_name:
             raise exceptions.Conflict(
                 f"two services are named {service.name!r}"
@@ -69,24 +69,24 @@
         return name in self._services_by_name
 
     async def start(self):
-        """Start every service after those it needs."""
+        """Start all services, each one after those that it needs."""
         for service in self._in_order():
             self._started.append(service)
             await service.start(self)
 
     async def drain(self):
-        """Drain the services, the last started first."""
+        """Drain the services in reverse order of their start."""
         self.is_draining = True
         for service in reversed(self._started):
             await service.drain()
 
     async def stop(self):
-        """Stop the services, the last started first."""
+        """Stop the services in reverse order of their start."""
         while self._started:
             await self._started.pop().stop()
 
     def in_flight(self):
-        """Return the requests under way, by the service's name."""
+        """Return the ids of the requests in flight, by service name."""
         return {
             service.name: sorted(service.in_flight)
             for service in self._started
--- a/packages/kernel/anvilwell_kernel/strict_http.py
+++ b/packages/kernel/anvilwell_kernel/strict_http.py
@@ -1,9 +1,9 @@
-"""A cheroot server that takes only requests with a single meaning.
+"""A cheroot server that rejects ambiguous HTTP requests.
 
-A request that two servers could read differently (two lengths, a length
-and chunks, folded lines) is refused, so that none can be smuggled past
-the entry. Reading a request has a time limit, so that a slow client
-can't hold a worker thread for ever.
+A request that two servers could parse differently (two lengths, a length
+and chunks, folded lines) is rejected, which prevents request smuggling
+through the entry. Reading a request has a time limit, so that a slow
+client cannot occupy a worker thread indefinitely.
 """
 
 import queue
@@ -40,7 +40,7 @@
 
 
 class _CheckedLines:
-    """Lines of a request's head; raises on those that may mislead."""
+    """Reads the lines of a request head; raises on malformed ones."""
 
     def __init__(self, rfile):
         self._rfile = rfile
@@ -53,7 +53,11 @@
 
 
 class _HeaderReader(server.HeaderReader):
-    """Reads headers; ``X_Y`` is dropped, WSGI can't tell it from ``X-Y``."""
+    """Reads headers and drops those with an underscore in the name.
+
+    WSGI gives ``X_Y`` and ``X-Y`` the same key, so a client could forge
+    one header by means of the other.
+    """
 
     def __call__(self, rfile, hdict=None):
         return super().__call__(_CheckedLines(rfile), hdict)
@@ -63,7 +67,7 @@
 
 
 class _Headers(dict):
-    """Headers by name; raises on contradictions."""
+    """Headers by name; raises if two of them contradict each other."""
 
     def __setitem__(self, name, value):
         if name in self and name not in server.comma_separated_headers:
@@ -74,7 +78,9 @@
         ):
             raise ValueError("Malformed Content-Length Header.")
         if name == _TRANSFER_ENCODING and value.lower() != b"chunked":
-            raise ValueError("Only the chunked transfer encoding is known.")
+            raise ValueError(
+                "Only the chunked transfer encoding is supported."
+            )
         if _CONTENT_LENGTH in self and _TRANSFER_ENCODING in self:
             raise ValueError("Content-Length and Transfer-Encoding together.")
 
@@ -87,7 +93,7 @@
 
 
 class Request(server.HTTPRequest):
-    """One request; errors found here are told by the server's `refuse`."""
+    """A request; the server's `refuse` renders its parsing errors."""
 
     header_reader = _HeaderReader()
 
@@ -106,7 +112,7 @@
                 self.server.cancel_read_timer(self)
 
     def read_request_headers(self):
-        """Read the headers; return whether they are acceptable."""
+        """Read the headers; return whether the request can be handled."""
         if not super().read_request_headers():
             return False
         if _TRANSFER_ENCODING in self.inheaders and not self.chunked_read:
@@ -115,20 +121,21 @@
         return True
 
     def respond(self):
-        """Have the application answer."""
+        """Let the application answer, then cancel the read timer."""
         try:
             super().respond()
         finally:
             self.server.cancel_read_timer(self)
 
     def send_headers(self):
-        """Send the head of the answer."""
-        # Trailers may follow the chunks: nothing after them is trusted.
+        """Send the head of the response."""
+        # Trailers may follow the chunks, and what comes after them could be
+        # smuggled, so the connection is not used for another request.
         self.close_connection = self.close_connection or self.chunked_read
         super().send_headers()
 
     def is_reading(self):
-        """Return whether head or body are still to come."""
+        """Return whether part of the head or body has yet to arrive."""
         if not self.ready:
             return True
         if self.chunked_read:
@@ -136,7 +143,7 @@
         return getattr(self.rfile, "remaining", 0) > 0
 
     def simple_response(self, status, msg=""):
-        """Refuse the request with a typed body; close the connection."""
+        """Send an error with a JSON body and close the connection."""
         self.close_connection = True
         code = 408 if self.has_timed_out else int(str(status)[:3])
         self.status, headers, body = self.server.refuse(code, msg)
@@ -149,7 +156,7 @@
             self.ensure_headers_sent()
             self.conn.wfile.write(body)
         except OSError:
-            # The client has gone; there is nobody to tell.
+            # The client has disconnected, so nobody receives the error.
             return
 
 
@@ -158,15 +165,15 @@
 
 
 class Server(wsgi.Server):
-    """A WSGI server of strict requests.
+    """A WSGI server that rejects ambiguous and slow requests.
 
     Parameters
     ----------
     refuse : callable
-        Takes a status code and a message, returns ``(status line as
-        bytes, headers, body)`` of the refusal.
+        Takes a status code and a message; returns the error response as
+        ``(status line as bytes, headers, body)``.
     read_limit_s : float
-        Longest time that head and body of a request may take.
+        Maximum time for reading the head and body of a request.
     """
 
     ConnectionClass = _Connection
@@ -179,45 +186,48 @@
         self._stopped = threading.Event()
 
     def process_conn(self, conn):
-        """Give a readable connection to a worker, or refuse it at once."""
+        """Queue a connection with data for a worker; reject it if full."""
         try:
             self.requests.put(conn)
         except queue.Full:
             self._reject(conn)
 
     def start_read_timer(self, request):
-        """Begin the time limit of `request`."""
+        """Start the time limit for reading `request`."""
         deadline = time.monotonic() + self._read_limit_s
         self._deadlines_by_request[request] = deadline
 
     def cancel_read_timer(self, request):
-        """End the time limit of `request`."""
+        """Cancel the time limit for reading `request`."""
         self._deadlines_by_request.pop(request, None)
 
     def serve(self):
-        """Serve until stopped."""
+        """Serve requests until `stop` is called."""
         reaper = threading.Thread(target=self._abort_late_reads, daemon=True)
         reaper.start()
         super().serve()
 
     def stop(self):
-        """Stop serving; worker threads get `shutdown_timeout`."""
+        """Stop serving; wait up to `shutdown_timeout` for the workers."""
         self._stopped.set()
         super().stop()
 
     def error_log(self, msg="", level=20, traceback=False):
-        """Write what cheroot has to say to the log."""
+        """Write an error message of cheroot to the log."""
         trace = tracebacks.format_exc() if traceback else ""
         _LOG.log("server-error", message=msg, level=level, traceback=trace)
 
     def _reject(self, conn):
-        # This is the accepting thread: nothing here may wait.
+        # This runs on the thread that accepts connections, so it must not
+        # block.
         conn.socket.setblocking(False)
         try:
-            # Unread data would have the kernel reset the refusal.
+            # If unread data were left in the socket, the operating system
+            # would reset the connection and the client would not receive the
+            # response.
             conn.socket.recv(_MAX_DISCARDED_BYTES)
         except OSError:
-            # There was none after all.
+            # No data had arrived.
             _LOG.log("nothing-to-read")
         Request(self, conn).simple_response("503", "Too many connections.")
         conn.close()
@@ -236,5 +246,5 @@
         try:
             request.conn.socket.shutdown(socket.SHUT_RD)
         except OSError:
-            # It was closed in the meantime.
+            # The socket has been closed in the meantime.
             return
--- a/packages/kernel/anvilwell_kernel/web.py
+++ b/packages/kernel/anvilwell_kernel/web.py
@@ -1,4 +1,4 @@
-"""An HTTP server: cheroot in front of werkzeug's routing."""
+"""An HTTP server made of cheroot and werkzeug's routing."""
 
 import http
 import json
@@ -26,10 +26,10 @@
 MAX_HEADER_BYTES = 16 << 10
 READ_LIMIT_S = 30.0
 STOP_TIMEOUT_S = 1.0
-DRAIN_RETRY_S = 1.0
+DRAIN_RETRY_AFTER_S = 1.0
 POLL_S = 0.1
-OVERLOAD_RETRY_S = 1.0
-KEEP_ALIVE_CONNECTIONS = 256
+OVERLOAD_RETRY_AFTER_S = 1.0
+MAX_KEEP_ALIVE_CONNECTIONS = 256
 
 REQUEST_ID = "Anvilwell-Request-Id"
 VERDICT = "Anvilwell-Verdict"
@@ -46,7 +46,7 @@
 
 
 def error_body(error, request_id=""):
-    """Return the JSON-able body that tells a caller of `error`."""
+    """Return the body of the error response for `error`, as a dict."""
     return {
         "error": {
             "verdict": str(error.verdict),
@@ -59,7 +59,7 @@
 
 
 def error_response(error, request_id=""):
-    """Return the response that tells a caller of `error`."""
+    """Return the error response for `error`."""
     response = json_response(error_body(error, request_id), error.status)
     response.headers[VERDICT] = str(error.verdict)
     response.headers[REASON] = str(error.reason)
@@ -71,19 +71,19 @@
 
 
 def json_response(body, status=200):
-    """Return a response with `body` as JSON."""
+    """Return a response with `body` serialised as JSON."""
     return werkzeug.Response(
         json.dumps(body), status=status, content_type="application/json"
     )
 
 
 def json_body(request, adapter):
-    """Return the request's JSON body, checked by a pydantic `adapter`.
+    """Return the request's JSON body, validated by a pydantic `adapter`.
 
     Raises
     ------
     exceptions.BadRequest
-        If the body is not JSON or not of the adapter's shape.
+        If the body is not JSON or does not match the adapter's type.
     """
     try:
         return adapter.validate_json(request.get_data())
@@ -92,38 +92,42 @@
 
 
 def request_id(request):
-    """Return the id that the server gave to `request`.
+    """Return the id that the server assigned to `request`.
 
-    A caller's own id is never taken: two callers could choose the same.
+    An id that the caller sent is ignored, because two callers could choose
+    the same.
     """
     return request.environ[_REQUEST_ID_KEY]
 
 
 class WebServer(services.Service):
-    """Serves HTTP on one address; handlers run on worker threads.
+    """Serves HTTP on one address and runs handlers on worker threads.
 
     A handler takes the werkzeug request and the rule's parameters and
     returns a werkzeug response. An ``AnvilwellError`` becomes an error
-    response with its verdict; every answer carries a request id.
+    response with its verdict; every response carries a request id.
 
     Parameters
     ----------
     host : str
-        IP number to listen on.
+        IP address to listen on.
     port : int
-        Port; 0 chooses a free one.
+        Port to listen on; 0 chooses a free one.
     threads : int
-        Requests served at a time.
+        Number of worker threads, which is the number of requests that are
+        served at the same time.
     queue : int
-        Connections that may wait for a thread; more are refused.
+        Number of connections that may wait for a thread; further ones are
+        refused.
     max_body_bytes, max_header_bytes : int
-        Sizes of a request's body and head above which it is refused.
+        Maximum sizes of a request's body and head; larger requests are
+        refused.
     read_limit_s : float
-        Longest time that a client may take to send a request.
+        Maximum time that a client may take to send a request.
     poll_s : float
-        Seconds after which `close` is noticed at the latest.
+        Interval at which the server checks whether it was closed.
     needs : iterable of str
-        Services that must be started before.
+        Names of the services that must be started before this one.
     """
 
     def __init__(
@@ -157,7 +161,7 @@
             accepted_queue_size=queue,
             accepted_queue_timeout=0,
         )
-        self._server.keep_alive_conn_limit = KEEP_ALIVE_CONNECTIONS
+        self._server.keep_alive_conn_limit = MAX_KEEP_ALIVE_CONNECTIONS
         self._server.max_request_header_size = max_header_bytes
         self._server.max_request_body_size = max_body_bytes
         self._server.shutdown_timeout = STOP_TIMEOUT_S
@@ -166,13 +170,13 @@
 
     @property
     def address(self):
-        """The ``(host, port)`` that it listens on, once started."""
+        """The ``(host, port)`` that the server listens on, once started."""
         return self._server.bind_addr[:2]
 
     def route(self, rule, handler, methods=("GET",), *, while_draining=False):
-        """Serve `rule` (werkzeug syntax) by `handler`.
+        """Register `handler` for `rule`, which has werkzeug's syntax.
 
-        A rule with `while_draining` is served during the drain too.
+        With `while_draining`, the rule is also served during the drain.
         """
         endpoint = f"{','.join(methods or ['ANY'])} {rule}"
         self._handlers_by_endpoint[endpoint] = handler
@@ -181,11 +185,11 @@
             self._while_draining.add(endpoint)
 
     async def start(self, kernel):
-        """Bind the address and begin to serve."""
+        """Bind the address and start serving."""
         self.serve_in_thread()
 
     def serve_in_thread(self):
-        """Bind the address and serve on a thread of its own."""
+        """Bind the address and serve on a separate thread."""
         self._server.prepare()
         self._thread = threading.Thread(
             target=self._server.serve, name=self.name, daemon=True
@@ -193,15 +197,15 @@
         self._thread.start()
 
     async def drain(self):
-        """Refuse new requests and wait until those in flight have ended."""
+        """Refuse new requests and wait for those in flight to end."""
         await self._in_flight.drain()
 
     async def stop(self):
-        """Close the listener and the worker threads."""
+        """Close the listener and stop the worker threads."""
         self.close()
 
     def close(self):
-        """Close the listener and the worker threads; may block."""
+        """Close the listener and stop the worker threads; blocks."""
         self._server.stop()
         if self._thread:
             self._thread.join()
@@ -247,9 +251,9 @@
         is_exempt = endpoint in self._while_draining
         if self._in_flight.is_draining and not is_exempt:
             raise exceptions.Refused(
-                "this entry is shutting down; ask another",
+                "this entry is shutting down; send the request to another",
                 reason=reasons.Refusal.DRAINING,
-                retry_after=DRAIN_RETRY_S,
+                retry_after=DRAIN_RETRY_AFTER_S,
             )
 
 
@@ -267,7 +271,7 @@
 def _error_from_exception(error):
     _LOG.log("fault", error=repr(error))
     return exceptions.AnvilwellError(
-        "internal fault; the log says more",
+        "internal error; see the log of this process",
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
     )
 
@@ -276,7 +280,7 @@
     status = http.HTTPStatus(code)
     refusal = _error_from_status(code, message or status.phrase)
     if status is http.HTTPStatus.SERVICE_UNAVAILABLE:
-        refusal.retry_after = OVERLOAD_RETRY_S
+        refusal.retry_after = OVERLOAD_RETRY_AFTER_S
     counters.count_refusal(refusal.reason)
     response = error_response(refusal, uuid.uuid4().hex)
     line = f"{code} {status.phrase}".encode()
