--- a/packages/kernel/anvilwell_kernel/messages/__init__.py
+++ b/packages/kernel/anvilwell_kernel/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between the system's processes, and their codec."""
+"""Typed messages between the processes of the system, and their codec."""
--- a/packages/kernel/anvilwell_kernel/messages/codec.py
+++ b/packages/kernel/anvilwell_kernel/messages/codec.py
@@ -1,4 +1,4 @@
-"""CBOR frames with one typed message each."""
+"""Encodes typed messages as CBOR frames and decodes them."""
 
 import cbor2
 import pydantic
@@ -10,21 +10,23 @@
 
 
 class Codec:
-    """Turns typed messages into CBOR frames and back.
+    """Encodes typed messages as CBOR frames and decodes them.
 
-    A frame is an array: the kind's name, then the message's fields in
-    their declared order. Fields added later need defaults, so that an
-    older peer's frames still decode.
+    A message is an array of its kind's name followed by its fields in
+    declaration order. A frame holds one message or an array of messages.
+    A field that is added later needs a default, so that frames of older
+    peers can still be decoded.
 
     Parameters
     ----------
     kinds : iterable of type
-        ``NamedTuple`` classes; the class name is the kind's name.
+        ``NamedTuple`` classes of the messages; the name of a class is the
+        name of its kind.
 
     Raises
     ------
     exceptions.DuplicateKind
-        If two classes have one name.
+        If two classes have the same name.
     """
 
     def __init__(self, kinds):
@@ -36,11 +38,11 @@
         }
 
     def encode(self, message):
-        """Return `message` as bytes."""
+        """Return the frame of `message`."""
         return cbor2.dumps([type(message).__name__, *message])
 
     def encode_all(self, messages):
-        """Return `messages` as one frame; their order is kept."""
+        """Return one frame with all `messages`, in the given order."""
         return cbor2.dumps(
             [[type(message).__name__, *message] for message in messages]
         )
@@ -51,8 +53,8 @@
         Raises
         ------
         exceptions.MalformedMessage
-            If the frame is too large, not CBOR, of an unknown kind, or
-            a field has the wrong type.
+            If the frame is too large or not CBOR, or if the message is of
+            an unknown kind or has a field of the wrong type.
         """
         return self._message(_load(frame))
 
@@ -62,7 +64,7 @@
         Raises
         ------
         exceptions.MalformedMessage
-            If any of them is malformed; then none is returned.
+            If any of the messages is malformed.
         """
         items = _load(frame)
         if not isinstance(items, list):
@@ -86,7 +88,7 @@
 
 
 def check_unique_names(kinds):
-    """Raise `exceptions.DuplicateKind` if two classes have one name."""
+    """Raise `exceptions.DuplicateKind` if two classes share a name."""
     kinds_by_name = {}
     for kind in kinds:
         first = kinds_by_name.setdefault(kind.__name__, kind)
@@ -100,7 +102,7 @@
 def _load(frame):
     if len(frame) > MAX_FRAME_BYTES:
         raise exceptions.MalformedMessage(
-            f"frame of {len(frame)} bytes, limit {MAX_FRAME_BYTES}"
+            f"frame has {len(frame)} bytes, limit is {MAX_FRAME_BYTES}"
         )
     try:
         return cbor2.loads(frame)
--- a/packages/kernel/anvilwell_kernel/messages/configuration.py
+++ b/packages/kernel/anvilwell_kernel/messages/configuration.py
@@ -1,11 +1,15 @@
-"""Messages that agree on, spread and repair service documents."""
+"""Messages by which daemons agree on and replicate service documents."""
 
 import enum
 import typing
 
 
 class PrepareState(enum.StrEnum):
-    """What one member said, or is known, of a prepare request."""
+    """The outcome of a prepare request at one member.
+
+    Either the member answered it, or the sender found out why there is no
+    answer.
+    """
 
     PREPARED = "prepared"
     REFUSED = "refused"
@@ -16,7 +20,7 @@
 
 
 class Instance(typing.NamedTuple):
-    """One process on a VM; ``incarnation`` is drawn at each start."""
+    """A process on a VM; ``incarnation`` is chosen anew at each start."""
 
     vm_id: str
     incarnation: str
@@ -25,7 +29,7 @@
 
 
 class Document(typing.NamedTuple):
-    """A service's document as one write of its record left it."""
+    """A service's document as of one write of its stored record."""
 
     service: str
     generation: int
@@ -34,7 +38,7 @@
 
 
 class PrepareChange(typing.NamedTuple):
-    """Asks `targets` to get ready for a document; relayed by the first."""
+    """Asks `targets` to prepare for a document; the first one relays it."""
 
     attempt: str
     change_id: str
@@ -44,7 +48,7 @@
 
 
 class PrepareAnswer(typing.NamedTuple):
-    """What one instance answers to a `PrepareChange`."""
+    """The answer of one instance to a `PrepareChange`."""
 
     instance: Instance
     attempt: str
@@ -54,14 +58,14 @@
 
 
 class PrepareAnswers(typing.NamedTuple):
-    """The answers of a relay's targets."""
+    """The answers of all targets that one relay collected."""
 
     attempt: str
     answers: list[PrepareAnswer]
 
 
 class CommitChange(typing.NamedTuple):
-    """Says that an attempt landed and the document is in force."""
+    """States that an attempt was written and its document is in force."""
 
     attempt: str
     service: str
@@ -71,7 +75,7 @@
 
 
 class AbortChange(typing.NamedTuple):
-    """Says that an attempt never landed and never will."""
+    """States that an attempt was not written and never will be."""
 
     attempt: str
     service: str
@@ -79,13 +83,13 @@
 
 
 class ChangeAcknowledged(typing.NamedTuple):
-    """Who has taken in a `CommitChange` or an `AbortChange`."""
+    """The VMs that have applied a `CommitChange` or an `AbortChange`."""
 
     vm_ids: list[str]
 
 
 class DocumentVersion(typing.NamedTuple):
-    """How far an instance is with one service."""
+    """The latest document of one service that an instance has."""
 
     service: str
     generation: int
@@ -93,37 +97,40 @@
 
 
 class DocumentDigest(typing.NamedTuple):
-    """A hash of how far the sender is with `services` (empty: all)."""
+    """A hash of the sender's versions of `services`; empty means all."""
 
     services: list[str]
     state_hash: int
 
 
 class DocumentVersions(typing.NamedTuple):
-    """The sender's state in full, unless the hashes are the same."""
+    """The sender's versions; omitted if the hashes are the same."""
 
     is_same: bool
     versions: list[DocumentVersion]
 
 
 class Documents(typing.NamedTuple):
-    """Documents that the receiver lacks; empty if it is up to date."""
+    """Documents that the receiver lacks; none if it is up to date.
+
+    ``wanted`` names the services whose documents the sender requests.
+    """
 
     documents: list[Document]
     wanted: list[str] = []
 
 
 class SponsorRequest(typing.NamedTuple):
-    """Asked by an instance that can't reach the key-value service.
+    """Sent by an instance that can't reach the key-value service.
 
-    ``services`` is what it follows; empty means all.
+    ``services`` holds the services that it follows; empty means all.
     """
 
     services: list[str]
 
 
 class SponsorAnswer(typing.NamedTuple):
-    """Whether the sponsor is sure of `documents` at this moment."""
+    """Whether the sponsor confirms that `documents` are current."""
 
     sponsor: Instance
     granted: bool
--- a/packages/kernel/anvilwell_kernel/messages/errors.py
+++ b/packages/kernel/anvilwell_kernel/messages/errors.py
@@ -1,10 +1,10 @@
-"""The JSON body of an error."""
+"""The JSON body of an error response."""
 
 import typing_extensions
 
 
 class ErrorDetail(typing_extensions.TypedDict):
-    """What is known of a failed request."""
+    """The verdict on a failed request and the reason of its failure."""
 
     verdict: str
     reason: str
@@ -14,6 +14,6 @@
 
 
 class ErrorBody(typing_extensions.TypedDict):
-    """The whole body."""
+    """The body of an error response."""
 
     error: ErrorDetail
--- a/packages/kernel/anvilwell_kernel/messages/links.py
+++ b/packages/kernel/anvilwell_kernel/messages/links.py
@@ -1,10 +1,10 @@
-"""Messages about a data link itself."""
+"""Messages about the state of a data link and of its two ends."""
 
 import typing
 
 
 class Hello(typing.NamedTuple):
-    """First message of each side: who speaks."""
+    """The first message of each side, which identifies the sender."""
 
     vm_id: str
     role: str
@@ -14,15 +14,15 @@
 
 
 class Leaving(typing.NamedTuple):
-    """The sender takes no new requests; those in flight go on."""
+    """The sender accepts no new requests; those in flight continue."""
 
     vm_id: str
 
 
 class AgentLoad(typing.NamedTuple):
-    """An agent's own count of its requests, and its weight version.
+    """The number of requests at an agent, and its weight version.
 
-    ``own`` is how many of them belong to the entry that it is sent to;
+    ``own`` counts the requests of the entry that receives the message, and
     ``reachable`` says whether the backend server answers the agent.
     """
 
--- a/packages/kernel/anvilwell_kernel/messages/membership.py
+++ b/packages/kernel/anvilwell_kernel/messages/membership.py
@@ -1,11 +1,14 @@
-"""Messages by which daemons agree on who is there."""
+"""Messages by which daemons agree on the members of the fleet."""
 
 import enum
 import typing
 
 
 class State(enum.IntEnum):
-    """A member's state; of one incarnation the greater state wins."""
+    """The state of a member.
+
+    Of two states for the same incarnation, the greater one is used.
+    """
 
     LIVE = 0
     SUSPECT = 1
@@ -14,10 +17,10 @@
 
 
 class Member(typing.NamedTuple):
-    """What is known of one daemon.
+    """A daemon and its state.
 
-    ``incarnation`` is raised by the member alone, to refute what others
-    say of it.
+    Only the member itself increases its ``incarnation``, in order to refute
+    a state that others reported of it.
     """
 
     vm_id: str
@@ -30,47 +33,48 @@
 
     @property
     def rank(self):
-        """The order by which two records of a member are compared."""
+        """The key by which records of one member are ordered."""
         return (self.incarnation, self.state)
 
 
 class Heartbeat(typing.NamedTuple):
-    """Asks a neighbour for an `Ack`; carries news both ways."""
+    """Asks a neighbour for an `Ack`; both carry changes of members."""
 
     number: int
     members: list[Member]
 
 
 class Ack(typing.NamedTuple):
-    """Answers the heartbeat of that number."""
+    """Answers the heartbeat with the same ``number``."""
 
     number: int
     members: list[Member]
 
 
 class Probe(typing.NamedTuple):
-    """Asks a neighbour to try `subject` in the sender's place."""
+    """Asks a neighbour to probe `subject` on behalf of the sender."""
 
     subject: str
     address: str
 
 
 class ProbeAck(typing.NamedTuple):
-    """Says that `subject` answered the asked neighbour."""
+    """States that `subject` answered the neighbour that probed it."""
 
     subject: str
 
 
 class Digest(typing.NamedTuple):
-    """One hash for each bucket of the sender's table."""
+    """The hash of each bucket of the sender's member table."""
 
     hashes: list[int]
 
 
 class Difference(typing.NamedTuple):
-    """The sender's members in buckets that differ.
+    """The sender's members in the buckets whose hashes differ.
 
-    ``wants_answer`` asks for the receiver's members of the same ones.
+    If ``wants_answer`` is true, the receiver answers with its own members
+    in the same buckets.
     """
 
     buckets: list[int]
--- a/packages/kernel/anvilwell_kernel/messages/operators.py
+++ b/packages/kernel/anvilwell_kernel/messages/operators.py
@@ -1,11 +1,11 @@
-"""JSON answers of the operators' HTTP interface."""
+"""JSON responses of the HTTP interface for operators."""
 
 import enum
 import typing
 
 import typing_extensions
 
-# pydantic needs this one on Python 3.11.
+# On Python 3.11, pydantic does not support typing.TypedDict.
 TypedDict = typing_extensions.TypedDict
 
 
@@ -18,7 +18,7 @@
 
 
 class Applied(TypedDict):
-    """Answer to a change; ``missing`` names daemons without an answer."""
+    """Response to a change; ``missing`` lists daemons that did not answer."""
 
     outcome: Outcome
     generation: int
@@ -43,7 +43,10 @@
 
 
 class ServiceDocument(TypedDict):
-    """The document in force; ``generation`` 0 and "" if there is none."""
+    """The document in force.
+
+    If there is none, ``generation`` is 0 and ``text`` is "".
+    """
 
     service: str
     generation: int
@@ -51,7 +54,7 @@
 
 
 class Change(TypedDict):
-    """One accepted change."""
+    """An accepted change of a service's document."""
 
     generation: int
     change_id: str
@@ -60,14 +63,14 @@
 
 
 class History(TypedDict):
-    """The last accepted changes, oldest first."""
+    """The most recent accepted changes, oldest first."""
 
     service: str
     changes: list[Change]
 
 
 class Member(TypedDict):
-    """A daemon as this entry knows it."""
+    """A daemon as recorded in the member table of the answering entry."""
 
     vm_id: str
     address: str
@@ -78,7 +81,7 @@
 
 
 class Status(TypedDict):
-    """What one entry knows of the fleet."""
+    """The state of one entry, and the services and members it has."""
 
     vm_id: str
     ready: bool
@@ -88,7 +91,7 @@
 
 
 class ReplicaVersion(TypedDict):
-    """The weight version that one replica reports."""
+    """The weight version that a replica reports."""
 
     vm_id: str
     failure_domain: str
@@ -96,7 +99,7 @@
 
 
 class Versions(TypedDict):
-    """The desired weight version and what the replicas report."""
+    """The desired weight version and those that the replicas report."""
 
     service: str
     desired: str
@@ -104,14 +107,14 @@
 
 
 class Drained(TypedDict):
-    """Answer to the order that a VM shall take no new work."""
+    """Response to an order to drain a VM."""
 
     vm_id: str
     state: str
 
 
 class Event(TypedDict):
-    """Something that happened to a request; ``at`` is wall time, s."""
+    """An event of a request; ``at`` is in seconds since the epoch."""
 
     at: float
     event: str
@@ -119,7 +122,7 @@
 
 
 class Explanation(TypedDict):
-    """The events of one request, oldest first."""
+    """The events of a request, oldest first."""
 
     request_id: str
     events: list[Event]
--- a/packages/kernel/anvilwell_kernel/messages/orders.py
+++ b/packages/kernel/anvilwell_kernel/messages/orders.py
@@ -1,11 +1,11 @@
-"""Messages by which the leader of a rollout orders weight versions."""
+"""Messages by which a rollout's leader has agents load weight versions."""
 
 import enum
 import typing
 
 
 class Kind(enum.StrEnum):
-    """What an order asks of an agent."""
+    """What an order requests from an agent."""
 
     STATUS = "status"
     LOAD = "load"
@@ -13,7 +13,7 @@
 
 
 class Activity(enum.StrEnum):
-    """What an agent does with its engine's weights now."""
+    """What an agent is doing with its engine's weights."""
 
     IDLE = "idle"
     LOADING = "loading"
@@ -22,10 +22,10 @@
 
 
 class Order(typing.NamedTuple):
-    """One order; ``number`` rises with each order of one leader.
+    """An order; ``number`` increases with each order of a leader.
 
-    ``generation`` is that of the document that wants the version, 0 for
-    a load ahead of any document.
+    ``generation`` is that of the document that requires the version, or 0
+    if the version is loaded before any document requires it.
     """
 
     service: str
@@ -37,18 +37,19 @@
 
 
 class Failed(typing.NamedTuple):
-    """A version that an engine failed to take under one generation."""
+    """A version that an engine failed to load under a generation."""
 
     version: str
     generation: int
 
 
 class Report(typing.NamedTuple):
-    """What an agent knows of its engine.
+    """The state of an agent's engine.
 
-    ``version`` was read from the engine, "" if it did not answer.
-    ``fencing`` and ``number`` are those of the last order admitted.
-    ``sequence`` rises with each report, also over restarts.
+    ``version`` was read from the engine; it is "" if the engine did not
+    answer. ``fencing`` and ``number`` are those of the last order that the
+    agent accepted. ``sequence`` increases with each report, also across
+    restarts.
     """
 
     vm_id: str
@@ -62,14 +63,17 @@
 
 
 class Refusal(typing.NamedTuple):
-    """An agent's door refused an order; ``highest`` is what it knows."""
+    """States that an agent's fencing check rejected an order.
+
+    ``highest`` is the highest fencing number that the agent has received.
+    """
 
     vm_id: str
     highest: int
 
 
 class Target(typing.NamedTuple):
-    """An order and the agent that it is for."""
+    """An order and the agent that should receive it."""
 
     vm_id: str
     address: str
@@ -77,13 +81,13 @@
 
 
 class Batch(typing.NamedTuple):
-    """Asks a daemon of a failure domain to pass orders on there."""
+    """Asks a daemon to forward orders within its failure domain."""
 
     targets: list[Target]
 
 
 class BatchReport(typing.NamedTuple):
-    """What became of a batch; ``missing`` gave no answer."""
+    """The results of a batch; ``missing`` lists VMs that did not answer."""
 
     reports: list[Report]
     refusals: list[Refusal]
--- a/packages/kernel/anvilwell_kernel/messages/peers.py
+++ b/packages/kernel/anvilwell_kernel/messages/peers.py
@@ -1,13 +1,14 @@
-"""Messages that every control link between two daemons carries."""
+"""Messages of the protocol of control links between two daemons."""
 
 import typing
 
 
 class Hello(typing.NamedTuple):
-    """The first frame each way: who speaks and whom it means to reach.
+    """The first frame in each direction, which identifies the sender.
 
-    ``address`` is where the speaker listens. ``wanted`` is "" if any
-    daemon at that address will do.
+    ``address`` is where the sender listens. ``wanted`` is the id of the VM
+    that it intends to reach, or "" if it accepts any daemon at that
+    address.
     """
 
     vm_id: str
@@ -16,7 +17,12 @@
 
 
 class Envelope(typing.NamedTuple):
-    """One message; numbers are 0 where no answer is meant."""
+    """A message with its request numbers.
+
+    ``request`` is the number of this request, or 0 if no answer is
+    expected. ``answers`` is the number of the request that this message
+    answers, or 0 if it is not an answer.
+    """
 
     request: int
     answers: int
@@ -24,7 +30,7 @@
 
 
 class Failure(typing.NamedTuple):
-    """Answers a request that raised an error."""
+    """Answers a request whose handler raised an error."""
 
     verdict: str
     reason: str
@@ -34,7 +40,7 @@
 
 
 class Done(typing.NamedTuple):
-    """Answers a request whose handler had nothing to say."""
+    """Answers a request whose handler returned nothing."""
 
 
 KINDS = (Hello, Envelope, Failure, Done)
--- a/packages/kernel/anvilwell_kernel/messages/requests.py
+++ b/packages/kernel/anvilwell_kernel/messages/requests.py
@@ -1,4 +1,4 @@
-"""Messages that carry one request from an entry to an agent and back."""
+"""Messages that carry requests to an agent and responses to an entry."""
 
 import typing
 
@@ -6,11 +6,13 @@
 class RequestStart(typing.NamedTuple):
     """Starts one attempt of a request on a stream.
 
-    ``deadline_s`` is the time left when the frame was sent, in
-    seconds: clocks of two VMs are never compared. An attempt that
-    goes on with a cut stream names the weight ``version`` it needs.
-    ``flush_s`` is how long a piece may wait for others to join it, in
-    seconds: the entry chooses it, because it pays for each piece.
+    ``deadline_s`` is the time left when the frame was sent, in seconds. It
+    is relative, because the clocks of two VMs are never compared. An
+    attempt that resumes an interrupted stream sets ``version`` to the
+    weight version that it requires. ``flush_s`` is the maximum time, in
+    seconds, for which the agent holds back data in order to send it in
+    fewer frames. The entry chooses it, because each frame costs the entry
+    processing time.
     """
 
     stream_id: int
@@ -33,7 +35,7 @@
 
 
 class RequestCancel(typing.NamedTuple):
-    """Asks the agent to give up a stream."""
+    """Asks the agent to cancel a stream."""
 
     stream_id: int
     reason: str
@@ -47,7 +49,7 @@
 
 
 class ResponseHead(typing.NamedTuple):
-    """Starts the answer; ids repeat those of the request."""
+    """Starts the response; its ids are those of the request."""
 
     stream_id: int
     request_id: str
@@ -57,10 +59,11 @@
 
 
 class ResponseData(typing.NamedTuple):
-    """One piece of the answer; ``sequence`` counts from 0.
+    """A part of the response; ``sequence`` counts from 0.
 
-    A model's piece is UTF-8 text of `tokens` tokens, all made by weight
-    version `version`; a plain service's piece is bytes of its body.
+    For a model, ``data`` is UTF-8 text of ``tokens`` tokens, all generated
+    by weight version ``version``. For a plain service, it is part of the
+    response body.
     """
 
     stream_id: int
@@ -71,7 +74,7 @@
 
 
 class ResponseEnd(typing.NamedTuple):
-    """Ends a whole answer of `frames` data frames."""
+    """Ends a complete response of ``frames`` data frames."""
 
     stream_id: int
     request_id: str
@@ -81,7 +84,7 @@
 
 
 class ResponseError(typing.NamedTuple):
-    """Ends a stream without a whole answer."""
+    """Ends a stream whose response is missing or incomplete."""
 
     stream_id: int
     request_id: str
--- a/packages/kernel/anvilwell_kernel/messages/samples.py
+++ b/packages/kernel/anvilwell_kernel/messages/samples.py
@@ -1,10 +1,10 @@
-"""Messages about the bytes of samples and calls for other entries."""
+"""Messages that store and fetch samples and forward trainers' calls."""
 
 import typing
 
 
 class KeepSample(typing.NamedTuple):
-    """Asks a daemon in another failure domain to keep a sample."""
+    """Asks a daemon in another failure domain to store a sample."""
 
     sample: str
     digest: str
@@ -12,36 +12,36 @@
 
 
 class SampleKept(typing.NamedTuple):
-    """Answers ``KeepSample``."""
+    """Confirms a ``KeepSample``."""
 
     digest: str
 
 
 class FetchSample(typing.NamedTuple):
-    """Asks a daemon for a sample's bytes."""
+    """Asks a daemon for the bytes of a sample."""
 
     sample: str
     digest: str
 
 
 class SampleBytes(typing.NamedTuple):
-    """Answers ``FetchSample``; ``body`` is None if they are not there."""
+    """Answers ``FetchSample``; ``body`` is None if they are not stored."""
 
     digest: str
     body: bytes | None
 
 
 class DiscardSample(typing.NamedTuple):
-    """Tells a daemon that nobody will ask for a sample again."""
+    """Allows a daemon to delete a sample that is no longer needed."""
 
     sample: str
     digest: str
 
 
 class RunCall(typing.NamedTuple):
-    """A trainer's call for the entry that holds the service's runs.
+    """Forwards a trainer's call to the entry that owns the service's runs.
 
-    ``arguments`` is JSON.
+    ``arguments`` is JSON text.
     """
 
     service: str
@@ -50,7 +50,7 @@
 
 
 class RunAnswer(typing.NamedTuple):
-    """Answers ``RunCall`` with a JSON body."""
+    """Answers ``RunCall``; ``body`` is JSON text."""
 
     body: bytes
 
--- a/packages/kernel/anvilwell_kernel/telemetry/__init__.py
+++ b/packages/kernel/anvilwell_kernel/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics of a process."""
+"""The logs and metrics of a process."""
--- a/packages/kernel/anvilwell_kernel/telemetry/bounded.py
+++ b/packages/kernel/anvilwell_kernel/telemetry/bounded.py
@@ -1,4 +1,4 @@
-"""A log destination that never waits and never grows without bound."""
+"""A log destination that never blocks and whose buffer is bounded."""
 
 import collections
 import contextlib
@@ -8,30 +8,33 @@
 import orjson
 
 ROUTINE = "routine"
-# Routine lines a second, and how many may come at once. A line has about
-# 300 bytes, so that is 60 KB a second at most.
+# Maximum rate of routine lines per second, and the size of a burst. A line has
+# about 300 bytes, so the rate amounts to at most 60 KB per second.
 ROUTINE_RATE = 200.0
 ROUTINE_BURST = 400
-# Bytes that wait while nobody reads; a hundredth of the smallest VM.
+# Maximum size of the lines that are buffered while the reader is slow; 1 % of
+# the memory of the smallest VM.
 MAX_BUFFERED_BYTES = 1 << 20
-# Of these, routine lines may take half: lines on failures outlast them.
+# Routine lines may fill half of the buffer; the other half is reserved for
+# lines about failures.
 MAX_BUFFERED_ROUTINE_BYTES = MAX_BUFFERED_BYTES // 2
-# At most one note a second says how many lines were left out.
+# Minimum interval in seconds between two notes on the number of dropped lines.
 NOTE_INTERVAL_S = 1.0
 
 
 class BoundedDestination:
     """Writes messages as JSON lines to a file descriptor.
 
-    Lines on failures are written before all else; lines marked as
-    routine are left out above a rate, and first when nobody reads.
+    Messages marked as routine are dropped above a rate limit. If the
+    reader is slow, they are also dropped earlier than messages about
+    failures.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; it is set to not block.
+        Descriptor to write to; it is made non-blocking.
     clock : callable, optional
-        Source of monotonic seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(self, descriptor, clock=time.monotonic):
@@ -46,7 +49,7 @@
         self._last_note_at = clock()
 
     def __call__(self, message):
-        """Write one message, or leave it out."""
+        """Write `message`, or drop it if a limit is exceeded."""
         is_routine = message.pop(ROUTINE, False)
         now = self._clock()
         if is_routine and not self._take_token(now):
@@ -57,7 +60,7 @@
         self.flush()
 
     def flush(self):
-        """Write what can be written without waiting."""
+        """Write as much of the buffer as possible without blocking."""
         while self._buffer:
             data = self._buffer[0]
             try:
@@ -71,7 +74,7 @@
             self._buffer.popleft()
 
     def close(self):
-        """Write what can be written, and let the descriptor block again."""
+        """Flush without waiting and make the descriptor blocking again."""
         with contextlib.suppress(OSError):
             self.flush()
             os.set_blocking(self._descriptor, True)
--- a/packages/kernel/anvilwell_kernel/telemetry/counters.py
+++ b/packages/kernel/anvilwell_kernel/telemetry/counters.py
@@ -1,4 +1,4 @@
-"""The counters that every process keeps."""
+"""The metrics that every process has."""
 
 from opentelemetry import metrics
 
@@ -16,22 +16,21 @@
     "anvilwell_unreadable_entries",
     unit="1",
     description=(
-        "Entries of the store and statements of load that can't be"
-        " understood, by kind"
+        "Entries of the store and load reports that can't be decoded, by kind"
     ),
 )
 HTTP_DURATION = _METER.create_histogram(
     "anvilwell_http_duration",
     unit="s",
-    description="Time until the head of an HTTP answer, by rule and status",
+    description="Time until the head of an HTTP response, by rule and status",
 )
 
 
 def count_refusal(reason, service=""):
     """Count one refusal for `reason` (a ``reasons.Refusal``).
 
-    `service` must be a configured service's name: each value makes a
-    new series.
+    `service` must be the name of a configured service, because each new
+    value creates a time series.
     """
     REFUSALS.add(1, {"reason": str(reason), "service": service})
 
@@ -42,17 +41,17 @@
 
 
 def count_unreadable(kind):
-    """Count one entry of `kind` that can't be understood."""
+    """Count one entry of `kind` that can't be decoded."""
     UNREADABLE.add(1, {"kind": kind})
 
 
 def record_response(rule, status, duration_s):
-    """Record one HTTP answer and how long its head took."""
+    """Record an HTTP response and the time until its head was ready."""
     HTTP_DURATION.record(duration_s, {"rule": rule, "status": status})
 
 
 def register_reasons():
-    """Show every reason with a count of 0 until it occurs."""
+    """Export every reason with a count of 0 before it first occurs."""
     for refusal in reasons.Refusal:
         REFUSALS.add(0, {"reason": str(refusal), "service": ""})
     for retry in reasons.Retry:
--- a/packages/kernel/anvilwell_kernel/telemetry/logs.py
+++ b/packages/kernel/anvilwell_kernel/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs by eliot; one causal tree for each request."""
+"""Structured logs by eliot, with one tree of actions for each request."""
 
 import logging
 import sys
@@ -10,35 +10,36 @@
 
 
 class Logger:
-    """Writes messages and actions of one module.
+    """Logs the messages and actions of one module.
 
     Parameters
     ----------
     name : str
-        The module's name; the prefix of its message types.
+        The module's name, which is the prefix of its message types.
     """
 
     def __init__(self, name):
         self._name = name
 
     def log(self, event, **fields):
-        """Write one message of type ``module:event``."""
+        """Log a message of type ``module:event``."""
         eliot.log_message(message_type=f"{self._name}:{event}", **fields)
 
     def routine(self, event, **fields):
-        """Write one message that may be left out under load."""
+        """Log a message that may be dropped under load."""
         self.log(event, **fields, **{bounded.ROUTINE: True})
 
     def action(self, event, **fields):
-        """Return a context that holds what happens inside it."""
+        """Return a context manager that groups the messages inside it."""
         return eliot.start_action(
             action_type=f"{self._name}:{event}", **fields
         )
 
     def resume(self, task_id, event, **fields):
-        """Return a context that goes on with another process's task.
+        """Return a context manager that continues a remote task.
 
-        It starts a task of its own if `task_id` is "".
+        `task_id` was sent by the other process. If it is "", a new task is
+        started.
         """
         if not task_id:
             return self.action(event, **fields)
@@ -53,15 +54,16 @@
 
 
 def current_task_id():
-    """Return the current action's task id, "" outside any action."""
+    """Return the task id of the current action, or "" if there is none."""
     action = eliot.current_action()
     return action.serialize_task_id().decode() if action else ""
 
 
 def new_task_id_factory():
-    """Return a function that gives a new id below the current action.
+    """Return a function that creates task ids below the current action.
 
-    Any thread may call it, also after it has left the action's context.
+    The function may be called from any thread, and also outside the context
+    of the action. Without a current action, it returns "".
     """
     action = eliot.current_action()
     if action is None:
@@ -70,16 +72,16 @@
 
 
 def start(path=None, **fields):
-    """Write the log as JSON lines, and return what stops it.
+    """Start to write the log as JSON lines; return a function to stop.
 
     Parameters
     ----------
     path : pathlib.Path, optional
-        File to append to; stdout if omitted.
+        File to append to; the default is stdout.
     **fields
-        Fields of every message, such as the VM's id.
+        Fields to add to every message, such as the VM's id.
     """
-    # A line at a time: nothing is lost if the process is killed.
+    # Line buffering, so that no message is lost if the process is killed.
     stream = path.open("a", buffering=1) if path else sys.stdout
     destination = eliot.FileDestination(file=stream)
     eliot.add_global_fields(**fields)
@@ -94,9 +96,9 @@
 
 
 def start_bounded(**fields):
-    """Write the log to stdout without ever waiting for its reader.
+    """Start to write the log to stdout without waiting for its reader.
 
-    Returns what stops it. **fields** are added to every message.
+    Returns a function that stops it. `fields` are added to every message.
     """
     destination = bounded.BoundedDestination(sys.stdout.fileno())
     eliot.add_global_fields(**fields)
@@ -110,7 +112,7 @@
 
 
 def capture_libraries():
-    """Have the warnings of libraries written to the log, not to stderr."""
+    """Write warnings of libraries to the log instead of stderr."""
     logging.basicConfig(
         handlers=[stdlib.EliotHandler()], level=logging.WARNING, force=True
     )
--- a/packages/kernel/anvilwell_kernel/telemetry/pages.py
+++ b/packages/kernel/anvilwell_kernel/telemetry/pages.py
@@ -1,4 +1,4 @@
-"""The metrics, liveness and readiness pages."""
+"""The HTTP pages for metrics, liveness and readiness."""
 
 import werkzeug
 
@@ -7,19 +7,19 @@
 
 
 class Pages:
-    """Serves ``/metrics``, ``/healthz`` and ``/readyz`` of a process.
+    """Serves ``/metrics``, ``/healthz`` and ``/readyz`` for a process.
 
     Parameters
     ----------
     kernel : services.Kernel
-        Says which services are not ready.
+        Reports which services are not ready.
     """
 
     def __init__(self, kernel):
         self._kernel = kernel
 
     def add_to(self, server):
-        """Serve the pages on `server`, during the drain too."""
+        """Serve the pages on `server`, also during the drain."""
         provider.start()
         for rule, handler in (
             ("/metrics", self._metrics),
--- a/packages/kernel/anvilwell_kernel/telemetry/provider.py
+++ b/packages/kernel/anvilwell_kernel/telemetry/provider.py
@@ -1,4 +1,4 @@
-"""The process's OpenTelemetry provider and its Prometheus page."""
+"""The OpenTelemetry provider of a process and its Prometheus page."""
 
 import functools
 
@@ -12,7 +12,7 @@
 from anvilwell_kernel.telemetry import counters
 
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_LATEST
-# Upper bounds of the buckets, by the unit of the histogram.
+# Upper bounds of histogram buckets, by the unit of the histogram.
 _BOUNDS_BY_UNIT = {
     "s": (
         *(0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5),
@@ -26,7 +26,7 @@
 
 @functools.cache
 def start():
-    """Set the process's provider; a second call does nothing."""
+    """Set the provider of the process; later calls have no effect."""
     reader = prometheus.PrometheusMetricReader(
         disable_target_info=True, scope_info_enabled=False
     )
@@ -40,7 +40,7 @@
 
 
 def page():
-    """Return the Prometheus page as bytes."""
+    """Return the current metrics in Prometheus format, as bytes."""
     return prometheus_client.generate_latest()
 
 
--- a/packages/kernel/tests/config/test_loader.py
+++ b/packages/kernel/tests/config/test_loader.py
@@ -1,4 +1,4 @@
-"""INI against a schema: whatever the text, a value or all problems."""
+"""Any INI text gives either typed settings or a list of problems."""
 
 import typing
 
--- a/packages/kernel/tests/conftest.py
+++ b/packages/kernel/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures of the kernel's tests."""
+"""Fixtures that the kernel's tests share."""
 
 import contextlib
 import socket
@@ -11,7 +11,7 @@
 
 
 class RawConnection:
-    """Sends bytes to a server and reads what comes back."""
+    """Sends raw bytes to a server and reads the bytes that it returns."""
 
     def __init__(self, address):
         self._socket = socket.create_connection(address, TIMEOUT_S)
@@ -21,7 +21,7 @@
         return self
 
     def read_all(self):
-        """Return all bytes until the server closes."""
+        """Return all bytes until the server closes the connection."""
         with contextlib.suppress(ConnectionResetError):
             return b"".join(iter(lambda: self._socket.recv(65536), b""))
         return b""
--- a/packages/kernel/tests/documents/test_calls.py
+++ b/packages/kernel/tests/documents/test_calls.py
@@ -1,4 +1,4 @@
-"""Which calls may be repeated, however their path is spelt."""
+"""Non-idempotent calls are recognised in any spelling of their path."""
 
 import pytest
 
--- a/packages/kernel/tests/documents/test_editor.py
+++ b/packages/kernel/tests/documents/test_editor.py
@@ -1,4 +1,4 @@
-"""A version changes in the text, and nothing else does."""
+"""`set_version` changes the version and no other part of the text."""
 
 import hypothesis
 from hypothesis import strategies
--- a/packages/kernel/tests/documents/test_parser.py
+++ b/packages/kernel/tests/documents/test_parser.py
@@ -1,4 +1,4 @@
-"""The service document: the whole one, and all that is wrong at once."""
+"""Parsing a service document reports all of its problems at once."""
 
 import pytest
 
--- a/packages/kernel/tests/messages/test_codec.py
+++ b/packages/kernel/tests/messages/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames: whole ones come back, malformed ones are refused."""
+"""Messages survive encoding and decoding; malformed frames are rejected."""
 
 import typing
 
@@ -82,7 +82,7 @@
 
 
 def check_decodes_or_raises_malformed(frame):
-    """Whatever comes, no other error than a refusal may pass."""
+    """Check that decoding raises no error other than `MalformedMessage`."""
     for decode in (CODEC.decode, CODEC.decode_all):
         try:
             decode(frame)
--- a/packages/kernel/tests/telemetry/test_bounded.py
+++ b/packages/kernel/tests/telemetry/test_bounded.py
@@ -1,4 +1,4 @@
-"""The log never waits, and keeps lines on failures longest."""
+"""The log never blocks, and it drops routine lines before others."""
 
 import json
 import os
--- a/packages/kernel/tests/telemetry/test_early_lines.py
+++ b/packages/kernel/tests/telemetry/test_early_lines.py
@@ -1,11 +1,11 @@
-"""A log destination gets no line that was logged before it was there.
+"""A log destination receives no line that was logged before it was added.
 
-A test failed once: among the lines that it had caught was one of another
-test that had run before it in the same process. eliot keeps what is logged
-before the first destination is added and hands it to that one. Which test
-adds the first depends on how tests are spread over processes, so the
-settings that all tests share add and remove one at the start. Without that
-this module fails when it is run alone.
+Guards against a test that captures log lines of an earlier test in the same
+process. eliot buffers what is logged before the first destination is added
+and passes it to that destination. Which test adds the first one depends on
+how the tests are distributed over processes, so the shared conftest adds
+and removes a destination at the start. Without this, the module fails when
+it is run alone.
 """
 
 import eliot
--- a/packages/kernel/tests/telemetry/test_logs.py
+++ b/packages/kernel/tests/telemetry/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: JSON lines, causal trees across processes, no secrets."""
+"""Tests of the log: JSON lines, trees across processes, no secrets."""
 
 import json
 import logging
@@ -27,7 +27,8 @@
 def lines(tmp_path):
     path = tmp_path / "log.json"
     stop = logs.start(path, vm_id="vm-1")
-    # What was logged before there was a log comes first.
+    # eliot buffers messages that were logged before the first destination was
+    # added, and writes them to it; they are skipped here.
     earlier = len(path.read_text().splitlines())
     yield lambda: [
         json.loads(line) for line in path.read_text().splitlines()[earlier:]
--- a/packages/kernel/tests/telemetry/test_pages.py
+++ b/packages/kernel/tests/telemetry/test_pages.py
@@ -1,4 +1,4 @@
-"""The metrics, liveness and readiness pages."""
+"""Tests of the pages for metrics, liveness and readiness."""
 
 import asyncio
 
--- a/packages/kernel/tests/test_exceptions.py
+++ b/packages/kernel/tests/test_exceptions.py
@@ -1,4 +1,4 @@
-"""What errors carry."""
+"""The attributes of errors."""
 
 from anvilwell_kernel import exceptions
 
--- a/packages/kernel/tests/test_services.py
+++ b/packages/kernel/tests/test_services.py
@@ -1,4 +1,4 @@
-"""The lifecycle of the named services."""
+"""The registry and the lifecycle of services."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class FakeService(services.Service):
-    """Notes what happens to it."""
+    """Records the calls of its lifecycle methods."""
 
     def __init__(self, calls, name, *needs, fails=False):
         self.name = name
--- a/packages/kernel/tests/test_strict_http.py
+++ b/packages/kernel/tests/test_strict_http.py
@@ -1,4 +1,4 @@
-"""Requests that two servers could read differently are refused."""
+"""Requests that two servers could parse differently are rejected."""
 
 import json
 
--- a/packages/kernel/tests/test_verdict.py
+++ b/packages/kernel/tests/test_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of a request made of several attempts."""
+"""The verdict on a request from those on its attempts, and of errors."""
 
 import hypothesis
 from hypothesis import strategies as st
--- a/packages/kernel/tests/test_web.py
+++ b/packages/kernel/tests/test_web.py
@@ -1,4 +1,4 @@
-"""The HTTP server: verdicts, request ids and the drain."""
+"""Tests of the HTTP server: verdicts, request ids and the drain."""
 
 import asyncio
 from concurrent import futures
