--- a/packages/daemon/anvilwell_daemon/config/settings.py
+++ b/packages/daemon/anvilwell_daemon/config/settings.py
@@ -64,8 +64,8 @@
     return found
 
 
-def _problem(section, key, what, fix):
-    return problems.Problem("", section, key, what, fix)
+def _problem(section, key, description, fix):
+    return problems.Problem("", section, key, description, fix)
 
 
 def _keyvalue_problems(keyvalue):
@@ -77,11 +77,15 @@
 def _role_problems(role, sections_by_name):
     other = "agent" if role == "entry" else "entry"
     if role in sections_by_name and sections_by_name[role] is None:
-        what = f"missing, but the role is {role}"
-        yield _problem(role, "", what, f"add it, or write role = {other}")
+        description = f"missing, but the role is {role}"
+        yield _problem(
+            role, "", description, f"add it, or write role = {other}"
+        )
     if sections_by_name.get(other) is not None:
-        what = f"is for role {other}, but the role is {role}"
-        yield _problem(other, "", what, f"remove it, or write role = {other}")
+        description = f"is for role {other}, but the role is {role}"
+        yield _problem(
+            other, "", description, f"remove it, or write role = {other}"
+        )
     yield from _peers_problems(role, sections_by_name)
 
 
@@ -91,8 +95,8 @@
     if peers is None:
         return
     if role == "entry" and peers.listen is None:
-        what = "missing, but the role is entry"
-        yield _problem("peers", "listen", what, "add listen = ip:port")
+        description = "missing, but the role is entry"
+        yield _problem("peers", "listen", description, "add listen = ip:port")
     if role == "agent" and agent and peers.listen not in (None, agent.listen):
-        what = "differs from [agent] listen"
-        yield _problem("peers", "listen", what, "remove it")
+        description = "differs from [agent] listen"
+        yield _problem("peers", "listen", description, "remove it")
--- a/packages/kernel/anvilwell_kernel/config/loader.py
+++ b/packages/kernel/anvilwell_kernel/config/loader.py
@@ -118,8 +118,8 @@
 
 def _parse(text):
     if len(text.encode()) > MAX_TEXT_BYTES:
-        what = f"text is longer than {MAX_TEXT_BYTES} bytes"
-        return {}, [problems.Problem("", "", "", what, "shorten it")]
+        description = f"text is longer than {MAX_TEXT_BYTES} bytes"
+        return {}, [problems.Problem("", "", "", description, "shorten it")]
     # The strict parser stops at the first duplicate. The lax one ignores
     # duplicates, so it finds the syntax errors after it.
     _, strict_problems = _read(text, strict=True)
@@ -149,14 +149,14 @@
 def _syntax_problems(error):
     # The line itself is not quoted, because it may contain a secret.
     if isinstance(error, configparser.DuplicateOptionError):
-        what = f"line {error.lineno}: key is given twice"
-        return [_syntax(what, "keep one", error.section, error.option)]
+        description = f"line {error.lineno}: key is given twice"
+        return [_syntax(description, "keep one", error.section, error.option)]
     if isinstance(error, configparser.DuplicateSectionError):
-        what = f"line {error.lineno}: section is given twice"
-        return [_syntax(what, "merge the two", error.section)]
+        description = f"line {error.lineno}: section is given twice"
+        return [_syntax(description, "merge the two", error.section)]
     if isinstance(error, configparser.MissingSectionHeaderError):
-        what = f"line {error.lineno}: appears before any section"
-        return [_syntax(what, "start with a [section] line")]
+        description = f"line {error.lineno}: appears before any section"
+        return [_syntax(description, "start with a [section] line")]
     numbers = [number for number, _ in getattr(error, "errors", [])]
     return [
         _syntax(f"line {number}: is not 'key = value'", "correct the line")
@@ -164,8 +164,8 @@
     ]
 
 
-def _syntax(what, fix, section="", key=""):
-    return problems.Problem("", section, key, what, fix)
+def _syntax(description, fix, section="", key=""):
+    return problems.Problem("", section, key, description, fix)
 
 
 def _unknown_sections(raw, specs_by_name):
@@ -200,8 +200,8 @@
     key = str(detail["loc"][0])
     if detail["type"] == "missing":
         fix = f"add {key} = ... ({fix_of(spec.hints_by_key[key])})"
-        what = "missing"
-        return problems.Problem("", spec.name, key, what, fix)
+        description = "missing"
+        return problems.Problem("", spec.name, key, description, fix)
     if not spec.accepts_any_key and key not in spec.hints_by_key:
         fix = problems.nearest_hint(key, spec.hints_by_key)
         return problems.Problem("", spec.name, key, "unknown key", fix)
@@ -209,9 +209,9 @@
     shown = (
         "value" if is_secret(hint) else repr(values[key][:_MAX_SHOWN_CHARS])
     )
-    what = f"{shown} is wrong: {detail['msg']}"
+    description = f"{shown} is wrong: {detail['msg']}"
     fix = fix_of(hint) or "correct the value"
-    return problems.Problem("", spec.name, key, what, fix)
+    return problems.Problem("", spec.name, key, description, fix)
 
 
 def _option_hint(spec, location):
--- a/packages/kernel/anvilwell_kernel/config/problem.py
+++ b/packages/kernel/anvilwell_kernel/config/problem.py
@@ -8,20 +8,20 @@
     """An error in a settings file or document, with a suggested fix.
 
     ``source``, ``section`` and ``key`` say where it is; ``section`` and
-    ``key`` are "" if it is not in any. ``what`` describes the error.
+    ``key`` are "" if it is not in any. ``description`` says what is wrong.
     """
 
     source: str
     section: str
     key: str
-    what: str
+    description: str
     fix: str
 
     def __str__(self):
         """Return the problem as one line of readable text."""
         parts = [self.source, f"[{self.section}]" if self.section else ""]
         place = " ".join(part for part in [*parts, self.key] if part)
-        return f"{place}: {self.what}; {self.fix}"
+        return f"{place}: {self.description}; {self.fix}"
 
 
 def nearest_hint(name, known):
--- a/packages/kernel/tests/config/test_loader.py
+++ b/packages/kernel/tests/config/test_loader.py
@@ -52,7 +52,7 @@
 
 @pytest.mark.fuzz
 @hypothesis.given(st.builds(Schema, main=SECTION, weights=WEIGHTS))
-def test_rendered_settings_come_back(settings):
+def test_rendered_settings_parse_to_the_same_settings(settings):
     text = writer.render(settings)
 
     assert loader.loads(text, Schema, "x.ini") == settings
@@ -66,8 +66,11 @@
             loader.loads(whole, Schema, "x.ini")
         except exceptions.ConfigurationError as error:
             assert error.problems
-            assert all(one.source == "x.ini" for one in error.problems)
-            assert all(one.what and one.fix for one in error.problems)
+            assert all(problem.source == "x.ini" for problem in error.problems)
+            assert all(
+                problem.description and problem.fix
+                for problem in error.problems
+            )
 
 
 @pytest.mark.parametrize(
--- a/packages/kernel/tests/documents/test_calls.py
+++ b/packages/kernel/tests/documents/test_calls.py
@@ -4,7 +4,7 @@
 
 from anvilwell_kernel import documents
 
-PLAIN = (
+PLAIN_DOCUMENT = (
     "[service]\nname = stops-app\nkind = plain\n"
     "[calls]\nnon_idempotent = POST /notices, PUT /changes/*\n"
 )
@@ -24,6 +24,6 @@
     ],
 )
 def test_is_idempotent(method, path, expected):
-    calls = documents.parse(PLAIN, "stops.ini").calls
+    calls = documents.parse(PLAIN_DOCUMENT, "stops.ini").calls
 
     assert calls.is_idempotent(method, path) is expected
--- a/packages/kernel/tests/documents/test_editor.py
+++ b/packages/kernel/tests/documents/test_editor.py
@@ -7,7 +7,7 @@
 from anvilwell_kernel import documents
 from anvilwell_kernel import exceptions
 
-LAID_OUT = """\
+DOCUMENT = """\
 # Owned by the planner team; version 8 was bad.
 
 [service]
@@ -27,7 +27,7 @@
 [teams]
 version = 8
 # the end, without a newline"""
-PIECES = strategies.lists(
+EXTRA_LINES = strategies.lists(
     strategies.sampled_from(
         ("", "# version = 8", "; x", " ; y = 8", "\t", "live_floor = 0.5")
     ),
@@ -37,11 +37,11 @@
 
 
 def test_only_the_version_changes(snapshot):
-    edited = documents.set_version(LAID_OUT, "12", "planner-lm")
+    edited = documents.set_version(DOCUMENT, "12", "planner-lm")
     assert edited == snapshot
     changed = [
         pair
-        for pair in zip(LAID_OUT.split("\n"), edited.split("\n"), strict=True)
+        for pair in zip(DOCUMENT.split("\n"), edited.split("\n"), strict=True)
         if pair[0] != pair[1]
     ]
     assert [old.replace("8", "12", 1) for old, _ in changed] == [
@@ -51,14 +51,14 @@
 
 
 @pytest.mark.parametrize("newline", ["\n", "\r\n"])
-def test_there_and_back_is_the_same_text(newline):
-    text = LAID_OUT.replace("\n", newline)
+def test_setting_a_version_and_restoring_it_gives_the_same_text(newline):
+    text = DOCUMENT.replace("\n", newline)
     there = documents.set_version(text, "123", "planner-lm")
     assert documents.set_version(there, "8", "planner-lm") == text
 
 
-@hypothesis.given(PIECES, PIECES, strategies.integers(1, 10**17))
-def test_any_layout_stays(above, below, version):
+@hypothesis.given(EXTRA_LINES, EXTRA_LINES, strategies.integers(1, 10**17))
+def test_any_layout_is_preserved(above, below, version):
     lines = ["[service]", "name = a", "kind = model", "[model]", "name = m"]
     middle = ["staleness_bound = 8", *above]
     below = [one for one in below if one not in above]
@@ -68,8 +68,8 @@
     assert edited == f"{head}{version}{tail}"
 
 
-def test_version_on_a_line_of_its_own_is_no_valid_document():
-    text = LAID_OUT.replace("=   8 ", "= ; 8\n    8 ")
+def test_version_on_a_separate_line_is_invalid():
+    text = DOCUMENT.replace("=   8 ", "= ; 8\n    8 ")
     with pytest.raises(exceptions.ConfigurationError, match="version"):
         documents.set_version(text, "9", "planner-lm")
 
--- a/packages/kernel/tests/documents/test_parser.py
+++ b/packages/kernel/tests/documents/test_parser.py
@@ -5,7 +5,7 @@
 from anvilwell_kernel import documents
 from anvilwell_kernel import exceptions
 
-WHOLE = """\
+VALID_DOCUMENT = """\
 [service]
 name = planner-lm
 schema = 1
@@ -26,7 +26,7 @@
 [teams]
 parents = 200
 """
-BAD = {
+INVALID_DOCUMENTS = {
     "empty": "",
     "no-section": "name = x\n",
     "many": (
@@ -51,7 +51,7 @@
 
 
 def test_parse_whole_document():
-    parsed = documents.parse(WHOLE, "planner-lm.ini")
+    parsed = documents.parse(VALID_DOCUMENT, "planner-lm.ini")
 
     assert parsed.service.name == "planner-lm"
     assert parsed.model.version == "7"
@@ -60,31 +60,33 @@
 
 
 def test_render_gives_the_same_document_back():
-    parsed = documents.parse(WHOLE, "planner-lm.ini")
+    parsed = documents.parse(VALID_DOCUMENT, "planner-lm.ini")
 
     assert documents.parse(documents.render(parsed), "again") == parsed
 
 
-@pytest.mark.parametrize("name", BAD)
+@pytest.mark.parametrize("name", INVALID_DOCUMENTS)
 def test_parse_reports_all_problems(name, snapshot):
     with pytest.raises(exceptions.ConfigurationError) as caught:
-        documents.parse(BAD[name], "bad.ini")
+        documents.parse(INVALID_DOCUMENTS[name], "bad.ini")
 
     assert str(caught.value) == snapshot
 
 
-def test_parse_bounds_the_text():
+def test_text_above_the_size_limit_is_refused():
     with pytest.raises(exceptions.ConfigurationError, match="longer than"):
         documents.parse("; " + "x" * (1 << 20), "long.ini")
 
 
 def test_digest_differs_for_differing_texts():
-    assert documents.digest(WHOLE) != documents.digest(WHOLE + "\n")
+    assert documents.digest(VALID_DOCUMENT) != documents.digest(
+        VALID_DOCUMENT + "\n"
+    )
 
 
 @pytest.mark.parametrize("version", ["v7", "1.5", "-1", "007", "9" * 19])
-def test_a_version_without_one_order_is_refused(version):
-    text = WHOLE.replace("version = 7 ", f"version = {version} ")
+def test_version_that_is_not_a_plain_decimal_is_rejected(version):
+    text = VALID_DOCUMENT.replace("version = 7 ", f"version = {version} ")
 
     with pytest.raises(exceptions.ConfigurationError) as refused:
         documents.parse(text, "planner-lm.ini")
--- a/packages/kernel/tests/messages/test_codec.py
+++ b/packages/kernel/tests/messages/test_codec.py
@@ -11,50 +11,50 @@
 from anvilwell_kernel.messages import codec as codecs
 from anvilwell_kernel.messages import requests
 
-TEXT = st.text(max_size=20)
-NUMBER = st.integers(0, 2**62)
-START = st.builds(
+TEXTS = st.text(max_size=20)
+NUMBERS = st.integers(0, 2**62)
+START_MESSAGES = st.builds(
     requests.RequestStart,
-    stream_id=NUMBER,
-    request_id=TEXT,
-    attempt=NUMBER,
-    service=TEXT,
-    priority=TEXT,
+    stream_id=NUMBERS,
+    request_id=TEXTS,
+    attempt=NUMBERS,
+    service=TEXTS,
+    priority=TEXTS,
     idempotent=st.booleans(),
-    method=TEXT,
-    path=TEXT,
-    headers=st.lists(st.tuples(TEXT, TEXT), max_size=3),
+    method=TEXTS,
+    path=TEXTS,
+    headers=st.lists(st.tuples(TEXTS, TEXTS), max_size=3),
     body=st.binary(max_size=200),
     deadline_s=st.floats(0, 1e6),
-    task_id=TEXT,
-    generation=NUMBER,
-    credit=NUMBER,
-    key=TEXT,
-    version=TEXT,
+    task_id=TEXTS,
+    generation=NUMBERS,
+    credit=NUMBERS,
+    key=TEXTS,
+    version=TEXTS,
     flush_s=st.floats(0, 10),
 )
-DATA = st.builds(
+DATA_MESSAGES = st.builds(
     requests.ResponseData,
-    stream_id=NUMBER,
-    sequence=NUMBER,
+    stream_id=NUMBERS,
+    sequence=NUMBERS,
     data=st.binary(max_size=200),
 )
-ERROR = st.builds(
+ERROR_MESSAGES = st.builds(
     requests.ResponseError,
-    stream_id=NUMBER,
-    request_id=TEXT,
-    attempt=NUMBER,
-    verdict=TEXT,
-    reason=TEXT,
-    message=TEXT,
+    stream_id=NUMBERS,
+    request_id=TEXTS,
+    attempt=NUMBERS,
+    verdict=TEXTS,
+    reason=TEXTS,
+    message=TEXTS,
     retry_after_s=st.none() | st.floats(0, 1e6),
     status=st.integers(100, 599),
 )
-MESSAGE = START | DATA | ERROR
-JSON_LIKE = st.recursive(
-    st.none() | st.booleans() | NUMBER | TEXT | st.binary(max_size=8),
+MESSAGES = START_MESSAGES | DATA_MESSAGES | ERROR_MESSAGES
+JSON_LIKE_VALUES = st.recursive(
+    st.none() | st.booleans() | NUMBERS | TEXTS | st.binary(max_size=8),
     lambda inner: (
-        st.lists(inner, max_size=4) | st.dictionaries(TEXT, inner, max_size=3)
+        st.lists(inner, max_size=4) | st.dictionaries(TEXTS, inner, max_size=3)
     ),
     max_leaves=12,
 )
@@ -63,21 +63,21 @@
 pytestmark = pytest.mark.fuzz
 
 
-@hypothesis.given(MESSAGE)
-def test_message_comes_back(message):
+@hypothesis.given(MESSAGES)
+def test_message_survives_encoding_and_decoding(message):
     assert CODEC.decode(CODEC.encode(message)) == message
 
 
-@hypothesis.given(START, st.sampled_from(["nan", "inf", "-inf"]))
-def test_time_that_is_no_number_is_refused(start, text):
+@hypothesis.given(START_MESSAGES, st.sampled_from(["nan", "inf", "-inf"]))
+def test_non_finite_number_is_refused(start, text):
     frame = CODEC.encode(start._replace(deadline_s=float(text)))
 
     with pytest.raises(exceptions.MalformedMessage, match="finite number"):
         CODEC.decode(frame)
 
 
-@hypothesis.given(st.lists(MESSAGE, max_size=4))
-def test_messages_come_back_in_order(messages):
+@hypothesis.given(st.lists(MESSAGES, max_size=4))
+def test_messages_of_a_frame_keep_their_order(messages):
     assert CODEC.decode_all(CODEC.encode_all(messages)) == messages
 
 
@@ -95,16 +95,16 @@
     check_decodes_or_raises_malformed(frame)
 
 
-@hypothesis.given(MESSAGE, st.integers(0, 400), st.integers(0, 255))
-def test_damaged_frame(message, place, value):
+@hypothesis.given(MESSAGES, st.integers(0, 400), st.integers(0, 255))
+def test_damaged_frame(message, position, value):
     frame = bytearray(CODEC.encode(message))
-    frame[place % len(frame)] = value
+    frame[position % len(frame)] = value
 
     check_decodes_or_raises_malformed(bytes(frame))
 
 
-@hypothesis.given(MESSAGE, st.integers(0, 400))
-def test_cut_frame_is_refused(message, length):
+@hypothesis.given(MESSAGES, st.integers(0, 400))
+def test_truncated_frame_is_refused(message, length):
     frame = CODEC.encode(message)
     cut = frame[: length % len(frame)]
 
@@ -112,7 +112,7 @@
         CODEC.decode(cut)
 
 
-@hypothesis.given(JSON_LIKE)
+@hypothesis.given(JSON_LIKE_VALUES)
 def test_other_data(data):
     check_decodes_or_raises_malformed(cbor2.dumps(data))
 
@@ -148,7 +148,7 @@
     return Ping
 
 
-def test_two_kinds_of_one_name_are_refused():
+def test_two_kinds_with_the_same_name_are_refused():
     first, second = make_kind("leases"), make_kind("rollout")
     codecs.Codec([first, first])
     with pytest.raises(exceptions.DuplicateKind) as caught:
@@ -158,7 +158,7 @@
     )
 
 
-def test_older_peer_may_lack_a_later_field():
+def test_frame_of_an_older_peer_may_lack_a_new_field():
     class Old(typing.NamedTuple):
         stream_id: int
 
--- a/packages/kernel/tests/telemetry/test_bounded.py
+++ b/packages/kernel/tests/telemetry/test_bounded.py
@@ -46,7 +46,7 @@
     assert second["message_type"] == "m:b"
 
 
-def test_a_reader_that_does_not_read_delays_nothing(pipe):
+def test_slow_reader_does_not_block_the_writer(pipe):
     reader, writer = pipe
     destination = bounded.BoundedDestination(writer)
     line = {"message_type": "m:a", "text": "x" * 1000}
@@ -54,20 +54,20 @@
     for number in range(3000):
         destination(line | {"n": number})
     kept = []
-    while found := _read_some(reader, destination):
-        kept += found
+    while received := _read_some(reader, destination):
+        kept += received
 
     assert 1000 < len(kept) < 3000
     assert [one["n"] for one in kept] == list(range(len(kept)))
 
 
 def _read_some(reader, destination):
-    found = _read(reader)
+    received = _read(reader)
     destination.flush()
-    return found
+    return received
 
 
-def test_lines_on_failures_outlast_routine_ones(pipe):
+def test_routine_lines_are_dropped_before_others(pipe):
     reader, writer = pipe
     clock = _Clock()
     destination = bounded.BoundedDestination(writer, clock)
@@ -77,14 +77,14 @@
         clock.now += 1.0
         destination(line | {bounded.ROUTINE: True})
     destination({"message_type": "m:failure"})
-    found = []
+    received = []
     while some := _read_some(reader, destination):
-        found += some
+        received += some
 
-    assert found[-1]["message_type"] == "m:failure"
+    assert received[-1]["message_type"] == "m:failure"
 
 
-def test_routine_lines_keep_to_their_rate_and_are_counted(pipe):
+def test_routine_lines_above_the_rate_are_dropped_and_counted(pipe):
     reader, writer = pipe
     clock = _Clock()
     destination = bounded.BoundedDestination(writer, clock)
--- a/packages/kernel/tests/telemetry/test_early_lines.py
+++ b/packages/kernel/tests/telemetry/test_early_lines.py
@@ -15,7 +15,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-def test_a_new_destination_gets_only_later_lines():
+def test_new_destination_receives_only_later_lines():
     _LOG.log("earlier")
     lines = []
     eliot.add_destinations(lines.append)
--- a/packages/kernel/tests/telemetry/test_logs.py
+++ b/packages/kernel/tests/telemetry/test_logs.py
@@ -45,7 +45,7 @@
     assert message["vm_id"] == "vm-1"
 
 
-def test_tree_goes_on_in_another_process(lines):
+def test_another_process_continues_the_tree(lines):
     with _LOG.action("request"):
         task_id = logs.current_task_id()
     with _LOG.resume(task_id, "attempt"):
@@ -78,7 +78,7 @@
     assert "hunter2" not in json.dumps(lines())
 
 
-def test_resuming_no_task_starts_one(lines):
+def test_resuming_without_a_task_id_starts_a_task(lines):
     with _LOG.resume("", "served"):
         _LOG.log("inside")
     assert len({line["task_uuid"] for line in lines()}) == 1
--- a/packages/kernel/tests/test_services.py
+++ b/packages/kernel/tests/test_services.py
@@ -34,7 +34,7 @@
     return []
 
 
-def test_lifecycle_follows_the_needs(calls):
+def test_services_start_and_stop_in_dependency_order(calls):
     kernel = services.Kernel(
         [
             FakeService(calls, "web", "dispatcher"),
@@ -98,14 +98,14 @@
     assert not calls
 
 
-def test_missing_need_is_named(calls):
+def test_missing_service_is_named(calls):
     kernel = services.Kernel([FakeService(calls, "a", "absent")])
 
     with pytest.raises(exceptions.NotFound, match="absent"):
         asyncio.run(kernel.start())
 
 
-def test_name_is_given_once(calls):
+def test_names_must_be_unique(calls):
     with pytest.raises(exceptions.Conflict, match="'a'"):
         services.Kernel([FakeService(calls, "a"), FakeService(calls, "a")])
 
--- a/packages/kernel/tests/test_strict_http.py
+++ b/packages/kernel/tests/test_strict_http.py
@@ -88,7 +88,7 @@
     assert received_bodies == []
 
 
-def test_nothing_after_chunks_is_taken_for_a_request(
+def test_data_after_chunks_is_not_parsed_as_a_request(
     server, connect, received_bodies
 ):
     smuggled = b"GET /echo HTTP/1.1\r\n" + HOST + b"\r\n"
@@ -155,7 +155,7 @@
         b"POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhell",
     ],
 )
-def test_slow_client_is_cut_off(part, serve, connect, received_bodies):
+def test_slow_client_times_out(part, serve, connect, received_bodies):
     def echo(request):
         received_bodies.append(request.get_data())
         return werkzeug.Response(b"")
@@ -170,7 +170,7 @@
     assert received_bodies == []
 
 
-def test_underscores_are_not_taken_for_dashes(serve, connect):
+def test_header_names_with_underscores_are_dropped(serve, connect):
     def key(request):
         return werkzeug.Response(str(request.headers.get("Idempotency-Key")))
 
--- a/packages/kernel/tests/test_verdict.py
+++ b/packages/kernel/tests/test_verdict.py
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize(
     "kind", sorted(subclasses(exceptions.AnvilwellError), key=str)
 )
-def test_every_error_tells_verdict_reason_and_status(kind):
+def test_every_error_has_verdict_reason_and_status(kind):
     error = kind([]) if kind is exceptions.ConfigurationError else kind("no")
 
     response = web.error_response(error, "r1")
@@ -54,7 +54,7 @@
     assert response.json["error"]["request_id"] == "r1"
 
 
-def test_own_reason_and_verdict_go_before_the_class():
+def test_own_reason_and_verdict_override_those_of_the_class():
     error = exceptions.Refused(
         "full",
         reason=reasons.Refusal.QUEUE_FULL,
--- a/packages/kernel/tests/test_web.py
+++ b/packages/kernel/tests/test_web.py
@@ -27,7 +27,7 @@
     )
 
 
-def test_answer_carries_a_request_id(serve):
+def test_response_carries_a_request_id(serve):
     server = serve()
     server.route(
         "/id", lambda request: web.json_response(web.request_id(request))
@@ -43,7 +43,7 @@
     assert len({*ids, "mine"}) == 3
 
 
-def test_error_becomes_its_verdict(serve):
+def test_error_response_has_the_verdict_and_reason(serve):
     def refuse(request):
         raise exceptions.LinkLost("link lost", retry_after=1.2)
 
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("kind", [RuntimeError, ConnectionResetError])
-def test_fault_may_have_run_and_does_not_leak(kind, serve):
+def test_unexpected_error_may_have_run_and_does_not_leak(kind, serve):
     def fail(request):
         raise kind("hunter2")
 
@@ -81,7 +81,7 @@
     assert b"hunter2" not in answer.data
 
 
-def test_header_injection_by_a_handler_does_not_pass(serve):
+def test_header_injection_by_a_handler_fails(serve):
     def inject(request):
         response = werkzeug.Response(b"")
         response.headers["X-Echo"] = request.args["value"]
@@ -100,7 +100,9 @@
     ("method", "path", "status"),
     [("GET", "/absent", 404), ("DELETE", "/known", 405)],
 )
-def test_unknown_path_or_method_was_not_run(serve, method, path, status):
+def test_request_with_unknown_path_or_method_was_not_run(
+    serve, method, path, status
+):
     server = serve()
     server.route("/known", lambda request: web.json_response({}))
 
@@ -127,13 +129,13 @@
 
 
 def test_drain_refuses_new_and_finishes_old_requests(serve):
-    begun = threading.Event()
+    request_started = threading.Event()
     release = threading.Event()
 
     def slow(request):
         def chunks():
             yield b"first,"
-            begun.set()
+            request_started.set()
             release.wait(TIMEOUT_S)
             yield b"last"
 
@@ -149,7 +151,7 @@
         target=lambda: answers.append(fetch(server, "/slow"))
     )
     caller.start()
-    assert begun.wait(TIMEOUT_S)
+    assert request_started.wait(TIMEOUT_S)
 
     async def drain():
         drained = asyncio.create_task(server.drain())
@@ -172,11 +174,11 @@
 
 
 def test_full_queue_refuses_at_once(serve):
-    begun = threading.Event()
+    request_started = threading.Event()
     release = threading.Event()
 
     def slow(request):
-        begun.set()
+        request_started.set()
         release.wait(TIMEOUT_S)
         return web.json_response({})
 
@@ -184,7 +186,7 @@
     server.route("/slow", slow)
     with futures.ThreadPoolExecutor() as pool:
         running = pool.submit(fetch, server, "/slow")
-        assert begun.wait(TIMEOUT_S)
+        assert request_started.wait(TIMEOUT_S)
         waiting = [pool.submit(fetch, server, "/slow") for _ in range(2)]
         refused, queued = futures.wait(
             waiting, TIMEOUT_S, return_when=futures.FIRST_COMPLETED
