--- a/packages/daemon/tests/commands/test_commands.py
+++ b/packages/daemon/tests/commands/test_commands.py
@@ -36,7 +36,7 @@
     lines = capsys.readouterr().err.splitlines()
     assert [line.rpartition(";")[2].strip() for line in lines] == [
         "did you mean 'timeout_s'?",
-        "add listen = ... (give an IP number and a port, such as "
+        "add listen = ... (give an IP address and a port, such as "
         "10.0.0.7:7300)",
         "did you mean 'listen'?",
     ]
--- a/packages/kernel/anvilwell_kernel/config/options.py
+++ b/packages/kernel/anvilwell_kernel/config/options.py
@@ -43,9 +43,9 @@
         return text
     parts = parse.urlsplit(f"//{text.strip()}")
     if parts.port is None or parts.netloc != text.strip():
-        raise ValueError("no port, or more than ip:port")
+        raise ValueError("text is not of the form ip:port")
     if "@" in parts.netloc:
-        raise ValueError("more than ip:port")
+        raise ValueError("text is not of the form ip:port")
     return Address(str(ipaddress.ip_address(parts.hostname)), parts.port)
 
 
@@ -62,7 +62,7 @@
 AddressOption = typing.Annotated[
     Address,
     pydantic.BeforeValidator(parse_address),
-    Fix("give an IP number and a port, such as 10.0.0.7:7300"),
+    Fix("give an IP address and a port, such as 10.0.0.7:7300"),
 ]
 AddressList = typing.Annotated[
     tuple[AddressOption, ...],
@@ -72,7 +72,7 @@
 TextList = typing.Annotated[
     tuple[str, ...],
     pydantic.BeforeValidator(split_list),
-    Fix("give values with commas between them"),
+    Fix("give values separated by commas"),
 ]
 Share = typing.Annotated[
     float,
@@ -92,12 +92,12 @@
 Count = typing.Annotated[
     int,
     pydantic.Field(ge=1, le=1 << 40),
-    Fix("give a whole number from 1 up"),
+    Fix("give an integer of 1 or more"),
 ]
 CountOrZero = typing.Annotated[
     int,
     pydantic.Field(ge=0, le=1 << 40),
-    Fix("give a whole number from 0 up"),
+    Fix("give an integer of 0 or more"),
 ]
 Name = typing.Annotated[
     str,
--- a/packages/kernel/anvilwell_kernel/services.py
+++ b/packages/kernel/anvilwell_kernel/services.py
@@ -47,7 +47,7 @@
         """Register `service` under its name, which must be unique."""
         if service.name in self._services_by_name:
             raise exceptions.Conflict(
-                f"two services are named {service.name!r}"
+                f"two services have the name {service.name!r}"
             )
         self._services_by_name[service.name] = service
 
@@ -112,7 +112,9 @@
             return
         if name in path:
             cycle = " -> ".join(itertools.chain(path, [name]))
-            raise exceptions.Conflict(f"services need each other: {cycle}")
+            raise exceptions.Conflict(
+                f"services depend on each other: {cycle}"
+            )
         service = self.get(name)
         for needed in service.needs:
             self._visit(needed, ordered, (*path, name))
--- a/packages/kernel/tests/test_imports.py
+++ b/packages/kernel/tests/test_imports.py
@@ -1,3 +1,5 @@
+"""Rules on which packages may import each other."""
+
 import ast
 import pathlib
 
