--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -1,7 +1,8 @@
-"""An agent: moves the engine beside it to the version asked for.
+"""The agent role: keeps the engine on its VM at the wanted versions.
 
-Its orders go first: an entry gives some only once it has not heard the
-agent for seconds, and the claim in the store says whose turn it is.
+An agent has priority over entries. An entry orders for an engine only
+after it has received nothing from the agent for some seconds, and the
+claim in the store decides which of them may give orders.
 """
 
 import asyncio
@@ -21,37 +22,42 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
-# Between the calls that show whether the store is there, in seconds. A
-# version is to be in force two seconds after it was named.
+# Seconds between pings of the store. A version has to be in force two
+# seconds after a trainer named it, so a lost store must show sooner.
 PING_INTERVAL_S = 1.0
-# Between looks whether a ping is due: the first is at once when the entry
-# that tells what changes says that it lost the store.
+# Seconds between checks whether a ping is due. It is shorter than the
+# ping interval so that the first ping is sent at once when the entry that
+# feeds this agent reports that it lost the store.
 POLL_INTERVAL_S = 0.1
-# A ping that was answered so lately shows that the store is there.
+# Age in seconds up to which an answered ping proves that the store can be
+# reached.
 PING_FRESHNESS_S = 0.5
-# Versions are followed at the store itself if no entry is known by then.
+# Seconds to wait for a first entry before versions are followed at the
+# store itself.
 ENTRY_WAIT_S = 0.5
-# Between looks whether the engine lost a version, by a restart or an order
-# that was carried out late. Its own VM is answered for free.
+# Seconds between checks whether the engine lost a version, by a restart or
+# by an order that was carried out late. The engine runs on the same VM, so
+# a report costs no network traffic.
 ENGINE_CHECK_INTERVAL_S = 1.0
-# Between looks whether engines have gone that keep the models which this one
-# does not, in seconds. They are seldom all gone at once; until the next
-# version is named, nobody else would have theirs. The registrations are read
-# for that only if they were not for a version named meanwhile.
+# Seconds between checks whether the engines that keep the models which this
+# one does not keep are gone. They are seldom all gone at once, but then no
+# engine would load their models before the next version is named. The
+# registrations are read again only if a version that was named meanwhile
+# has not caused a read within this time.
 KEEPER_CHECK_INTERVAL_S = 5.0
 
 _LOG = logs.get_logger(__name__)
 
 
 class Agent:
-    """Keeps one engine at the wanted versions.
+    """Orders one engine to load the versions that trainers name.
 
     Parameters
     ----------
     settings : config.Settings
         Names and addresses.
     platform : platforms.Platform
-        The adapter to the platform.
+        The ports to the platform.
     """
 
     def __init__(self, settings, platform):
@@ -76,7 +82,8 @@
         )
         self._engine_incarnation = None
         self._loaded_by_model = {}
-        # An agent holds no lease: whether it is in touch shows in a ping.
+        # An agent holds no lease, whose renewal would show that the store
+        # answers, so it sends pings.
         self._answered_at = float("-inf")
         self._neighbours = neighbours.Neighbours(
             self._vm_id,
@@ -93,14 +100,14 @@
         self._notice_tasks = set()
         self._loading_models = set()
         self._lags_by_model = {}
-        # The models that other engines keep.
+        # The models that this engine leaves to other engines.
         self._models_kept_elsewhere = set()
         self._listing = engine_listing.EngineListing(
             platform.store, platform.codec, settings.agent.service
         )
 
     async def start(self):
-        """Begin to follow and order."""
+        """Start the metrics page and all background tasks."""
         await self._metrics.start()
         self._peers.start(self._neighbours)
         self._tasks = [
@@ -112,22 +119,22 @@
         ]
 
     async def _follow_versions(self):
-        """Follow by an entry from the start, if there is one."""
+        """Start to follow versions, through an entry if one is found."""
         await self._neighbours.wait_for_entry(ENTRY_WAIT_S)
         self._versions.start(self._neighbours)
 
     async def drain(self):
-        """Give no order any more."""
+        """Stop all tasks, so that no more orders are given."""
         loads = self._load_tasks_by_model.values()
         await tasks.stop(*self._tasks, *loads, *self._notice_tasks)
         await self._peers.stop()
         await self._versions.stop()
 
     async def abort(self):
-        """Do nothing: nobody waits for an agent's answer."""
+        """Do nothing, as an agent has no callers whose requests to abort."""
 
     async def stop(self):
-        """Release everything."""
+        """Stop all tasks and close all connections."""
         await self.drain()
         await self._metrics.stop()
         await self._store_path.close()
@@ -136,7 +143,7 @@
         self._notice_sender.close()
 
     def _gauge_values(self):
-        """Return each `measures.GaugeValue` as of now."""
+        """Return the current `measures.GaugeValue` of each gauge."""
         wanted = [
             measures.GaugeValue("versions_wanted", version, model)
             for model, version in self._versions.wanted_by_model.items()
@@ -144,9 +151,10 @@
         return [*self._store_path.gauge_values(), *wanted]
 
     async def _ping(self):
-        """Have the store notice when it is lost and back.
+        """Ping the store at intervals to detect its loss and recovery.
 
-        A neighbour that tells of versions vouches for the store itself.
+        While a neighbour feeds the versions, that neighbour checks the
+        store, and no pings are sent.
         """
         pinged_at = float("-inf")
         while True:
@@ -164,11 +172,11 @@
                 _LOG.log("store-not-reached", cause=error.message)
 
     def _has_answered_recently(self):
-        """Return whether the store answers this process."""
+        """Return whether the store has answered a recent ping."""
         return self._clock() - self._answered_at < PING_FRESHNESS_S
 
     def _entries_changed(self, live):
-        """Take in which entries are there: for notices, news and help."""
+        """Update the entries that notices, feeds and relayed calls use."""
         self._store_path.set_peers(live.addresses_by_vm)
         self._neighbours.set_entries(live.candidates_by_vm)
         self._notice_sender.set_entries(
@@ -176,14 +184,14 @@
         )
 
     async def _run(self):
-        """Have one task for each model whose version has changed."""
+        """Start a load whenever a new version is wanted."""
         while True:
             await self._versions.changed.wait()
             self._versions.changed.clear()
             self._load_all()
 
     def _load_all(self):
-        """Have one task for each model that may be behind."""
+        """Start a load for each model that may be behind."""
         self._load_each(self._versions.wanted_by_model)
 
     def _load_each(self, models):
@@ -194,11 +202,12 @@
                 self._load_tasks_by_model[model] = task
 
     async def _check_engine(self):
-        """Move the engine again after it has lost a version.
+        """Load again after the engine has lost a version.
 
         An order without an answer may be carried out seconds later. If the
-        engine has started again under its id by then, and has taken as
-        many orders as the late one expects, nothing else guards it.
+        engine has restarted under the same id by then, and has taken as
+        many orders as the late order expects, it accepts that order. Only
+        this check detects that its version went back.
         """
         while True:
             await asyncio.sleep(ENGINE_CHECK_INTERVAL_S)
@@ -218,7 +227,7 @@
                 self._load_all()
 
     async def _check_keepers(self):
-        """Move the engine to what others kept once it is to keep that."""
+        """Load models of other engines once this engine has to keep them."""
         while True:
             await asyncio.sleep(KEEPER_CHECK_INTERVAL_S)
             if not self._models_kept_elsewhere:
@@ -244,7 +253,7 @@
         return loading.load_position(self._backend, model, models, addresses)
 
     def _has_lost(self, report):
-        """Take in a report; return whether its engine lost a version."""
+        """Record an engine report; return whether it shows a lost version."""
         incarnation = (report.replica_id, report.started_ms)
         is_other = self._engine_incarnation not in (None, incarnation)
         is_behind = any(
@@ -256,11 +265,14 @@
         return is_other or is_behind
 
     async def _addresses(self):
-        """Return the addresses of all engines of the service."""
+        """Return the addresses of all engines of this agent's service."""
         return await self._listing.find(self._notice_sender.engine_digest)
 
     async def _load(self, model):
-        """Order until each version wanted is there or skipped."""
+        """Give orders until the wanted version is loaded or skipped.
+
+        A version that is named meanwhile is handled as well.
+        """
         settled_version = 0
         while settled_version < self._versions.wanted_by_model[model]:
             settled_version = self._versions.wanted_by_model[model]
@@ -280,12 +292,15 @@
             await self._notice_sender.send(self._notice(report))
 
     def _announce_load(self, model, report):
-        """Tell that the engine loads, from what it said before."""
+        """Notify entries that the engine loads `model`.
+
+        The notice holds the versions of the report before the order.
+        """
         self._loading_models.add(model)
         self._keep_task(self._notice_sender.send(self._notice(report)))
 
     async def _load_delay_s(self, model):
-        """Return how long to wait before a load, None for no load now."""
+        """Return the seconds to wait before a load, None for no load."""
         wanted = self._versions.wanted_by_model[model]
         try:
             report = await self._engine.report()
@@ -299,8 +314,8 @@
             return None
         addresses = await self._addresses()
         if model not in self._lags_by_model:
-            # Without it all engines would load a trainer's first version:
-            # 30 loads beyond the free ones in a day of 31 engines.
+            # Without the lag all engines would load a trainer's first
+            # version: with 31 engines, 30 more loads a day than needed.
             await lag_task
         lag = self._lags_by_model.get(model)
         position = self._load_position(
@@ -324,10 +339,11 @@
         return wait_s
 
     async def _learn_lag(self, model, wanted, report):
-        """Learn how old the weights may be that a step's items get.
+        """Record how many versions behind a step's items may be generated.
 
-        The shortest one that was seen counts: a step that comes when its
-        trainer is late allows fewer versions behind the newest.
+        The lag is the wanted version less the oldest version that the
+        newest batch of the model accepts. The smallest lag seen counts: a
+        step that is submitted late allows fewer versions behind the newest.
         """
         await asyncio.sleep(loading.FIRST_LOAD_DELAY_S)
         min_versions_by_model = await self._notice_sender.send(
@@ -339,7 +355,7 @@
             self._lags_by_model[model] = min(existing, lag)
 
     def _notice(self, report):
-        """Return what the engine has, and what it loads."""
+        """Return a `notices.Notice` of the loaded and loading versions."""
         loaded = tuple(
             facts.ModelVersion(model, version)
             for model, version in report.version_by_model.items()
--- a/packages/gateway/anvilwell_gateway/engine.py
+++ b/packages/gateway/anvilwell_gateway/engine.py
@@ -1,4 +1,4 @@
-"""The engine beside an agent, as a port."""
+"""Port to an engine, the backend server that runs a model."""
 
 import abc
 import enum
@@ -6,11 +6,12 @@
 
 
 class EngineReport(typing.NamedTuple):
-    """What an engine says of itself.
+    """The state that an engine reports.
 
-    ``replica_id`` is the id that the engine checks, "" if it names none;
-    ``orders_taken`` counts the orders of this life of the engine, which
-    began at the Unix millisecond ``started_ms``, 0 if that is not known.
+    ``replica_id`` is the id that the engine checks in orders, "" if it
+    names none. ``orders_taken`` counts the orders that the engine has taken
+    since it started, at the Unix millisecond ``started_ms``; that is 0 if
+    the start time is unknown.
     """
 
     replica_id: str
@@ -22,7 +23,7 @@
 
 
 class OrderResult(enum.StrEnum):
-    """How an engine answered an order."""
+    """The result of an order to load weights."""
 
     ACCEPTED = "accepted"
     HOLDS_ALREADY = "holds-already"
@@ -33,9 +34,9 @@
 class VersionOrder(typing.NamedTuple):
     """An order to load weights.
 
-    It holds only for the life ``replica_id`` of the engine and only if
-    that has taken ``orders_taken`` orders: an order that is carried out
-    late, after a newer one, changes nothing.
+    The engine carries it out only if its id is ``replica_id`` and it has
+    taken exactly ``orders_taken`` orders. So an order that arrives late,
+    after a newer one, changes nothing.
     """
 
     replica_id: str
@@ -47,19 +48,20 @@
 
 
 class Engine(abc.ABC):
-    """Reports and takes orders.
+    """An engine that reports its state and takes orders.
 
-    Every method raises ``exceptions.BackendFailed``.
+    Calls raise ``exceptions.BackendFailed`` if the engine does not answer
+    as expected.
     """
 
     @abc.abstractmethod
     async def report(self):
-        """Return the `EngineReport` as of now."""
+        """Return the current `EngineReport`."""
 
     @abc.abstractmethod
     async def order(self, order):
-        """Give a `VersionOrder`; return its `OrderResult`."""
+        """Send a `VersionOrder`; return its `OrderResult`."""
 
     @abc.abstractmethod
     def close(self):
-        """Close the connections."""
+        """Close the connections to the engine."""
--- a/packages/gateway/anvilwell_gateway/engine_claims.py
+++ b/packages/gateway/anvilwell_gateway/engine_claims.py
@@ -1,9 +1,9 @@
-"""Who may give an engine orders: one holder at a time, kept in the store.
+"""Claims in the store that allow one VM at a time to order for an engine.
 
-An agent orders for the engine beside it. Where there is none, or it is
-cut off, an entry does. Each order's fencing number is the revision at
-which its holder took the engine, so a later holder's is always higher,
-and no two holders ever have the same.
+An agent orders for the engine on its VM. An entry does if there is no
+agent or it is cut off. The fencing number of an order is the store
+revision at which its holder claimed the engine. So a later holder always
+has a higher number, and no two holders ever have the same number.
 """
 
 import asyncio
@@ -16,17 +16,22 @@
 from anvilwell_outside.ports import keyvalue
 
 PREFIX = "anvilwell/orders/"
-# An order follows the read that allowed it within this time, in seconds.
+# Longest time in seconds between the start of reading a claim and an order
+# that relies on it.
 MAX_READ_AGE_S = 0.5
-# Holders may not take turns within three seconds. Whoever takes an engine
-# from another waits so long, and for what the other has read just before.
+# Seconds that a VM waits after it took an engine over. Two holders may not
+# give orders within three seconds of each other, and the previous holder
+# may still give an order on a claim that it read just before.
 CLAIM_WAIT_S = 3.0 + 2 * MAX_READ_AGE_S
 
 _LOG = logs.get_logger(__name__)
 
 
 class EngineClaim(typing.NamedTuple):
-    """Who orders; ``before`` is who did until then, "" for nobody."""
+    """The VM that gives orders to an engine, as stored.
+
+    ``before`` is the previous holder, "" if there was none.
+    """
 
     holder: str
     before: str = ""
@@ -36,14 +41,14 @@
 
 
 class EngineClaims:
-    """The engines that this process gives orders to.
+    """Obtains and checks the claims of this process on engines.
 
     Parameters
     ----------
     store : store.AsyncStore
-        Where the claims lie.
+        The store that holds the claims.
     vm_id : str
-        This VM.
+        Id of this VM.
     """
 
     def __init__(self, store, vm_id):
@@ -53,17 +58,19 @@
         self._usable_at_by_address = {}
 
     async def obtain_fencing(self, address):
-        """Return the fencing number of an order to be given at once.
+        """Return the fencing number for an order that is given at once.
+
+        Claims the engine first if another VM or none holds it.
 
         Returns
         -------
         int or None
-            None if no order may be given yet.
+            None if this VM may give no order yet.
 
         Raises
         ------
         exceptions.KeyValueUnavailable
-            If the store can't be asked.
+            If the store can't be reached.
         """
         requested_at = self._clock()
         key = f"{PREFIX}{address}"
@@ -78,19 +85,20 @@
         return entry.revision
 
     def _usable_at(self, address, claim):
-        """Return from when on this VM may order for an engine of its own.
+        """Return the loop time from which this VM may use its claim.
 
-        A process that does not know when its VM took the engine counts
-        from now on.
+        A process that restarted does not know when its VM claimed the
+        engine, so it waits the full time from now.
         """
         wait_s = CLAIM_WAIT_S if claim.before else 0.0
         usable_at = self._clock() + wait_s
         return self._usable_at_by_address.setdefault(str(address), usable_at)
 
     async def _claim(self, key, entry, claim):
-        """Take an engine; return the number of an order to be given now.
+        """Claim an engine; return the fencing number if it can be used now.
 
-        From another holder, there is none yet.
+        Return None if the engine had a holder before, as the wait for that
+        holder's last orders only begins, or if the write failed.
         """
         address = key.removeprefix(PREFIX)
         self._usable_at_by_address.pop(address, None)
@@ -107,7 +115,7 @@
 
 
 def _decode(key, entry):
-    """Return the `EngineClaim` in an entry, None if there is none to read."""
+    """Return the `EngineClaim` in an entry, None if absent or unreadable."""
     if entry is None:
         return None
     try:
--- a/packages/gateway/anvilwell_gateway/process.py
+++ b/packages/gateway/anvilwell_gateway/process.py
@@ -18,11 +18,12 @@
     Parameters
     ----------
     part : entry.Entry or agent.Agent
-        What starts, drains and stops. A drain that takes too long is cut.
+        The role to run. Its requests are aborted if the drain takes too
+        long.
     drain_limit_s : float
-        Longest drain, in seconds.
+        Longest duration of the drain, in seconds.
     reloader : reloading.Reloader
-        Reads the settings on SIGHUP and when their file changes.
+        Reads the settings again on SIGHUP and when their file changes.
     """
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
@@ -58,7 +59,7 @@
 
 
 class IdleProcess:
-    """A process whose VM has nothing to do; it only starts and stops."""
+    """A role without any work, for VMs that only have to run a process."""
 
     async def start(self):
         """Do nothing."""
--- a/packages/gateway/anvilwell_gateway/reloading.py
+++ b/packages/gateway/anvilwell_gateway/reloading.py
@@ -1,4 +1,4 @@
-"""Takes changed settings into a process that runs."""
+"""Applies changed settings to a running process."""
 
 import asyncio
 import os
@@ -7,28 +7,29 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
-# Settings may change without a signal; looking costs one system call.
+# Seconds between checks of the settings file, which may change without a
+# signal. Each check costs one system call.
 POLL_INTERVAL_S = 1.0
 
 _LOG = logs.get_logger(__name__)
 
 
 class Reloader:
-    """Reads the settings anew when told to, or when the file changes.
+    """Reads the settings again on request or when their file changes.
 
-    What can change while the process runs is taken at once; what can't
-    is named in the log and holds from the next start on.
+    Settings that can change while the process runs are applied at once.
+    The log names the others, which apply from the next start.
 
     Parameters
     ----------
     path : str
-        The settings file.
+        Path of the settings file.
     role : str
-        This process's role.
+        Role of this process.
     settings : config.Settings
-        What holds now.
+        The settings in force.
     apply : callable
-        Takes the new `config.KeyValueSection`.
+        Called with a changed `config.KeyValueSection`.
     """
 
     def __init__(self, path, role, settings, apply):
@@ -39,14 +40,14 @@
         self._file_stamp = self._read_file_stamp()
 
     async def watch(self):
-        """Look for changes for ever."""
+        """Check the settings file for changes until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             if self._read_file_stamp() != self._file_stamp:
                 self.reload()
 
     def reload(self):
-        """Read the settings and take what has changed."""
+        """Read the settings and apply those that have changed."""
         self._file_stamp = self._read_file_stamp()
         try:
             settings = config.load(self._path, self._role)
--- a/packages/gateway/anvilwell_gateway/retirement.py
+++ b/packages/gateway/anvilwell_gateway/retirement.py
@@ -1,4 +1,4 @@
-"""Says of storage VMs that are to be emptied that they are empty."""
+"""Confirms that storage VMs which are to be retired hold no data."""
 
 import asyncio
 
@@ -9,7 +9,8 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_outside.ports import keyvalue
 
-# Entries answer one after another, so that one write does, usually.
+# Each entry waits this many seconds longer than the entry before it, so
+# that usually only the first one writes.
 RANK_DELAY_S = 0.5
 WRITE_TIMEOUT_S = 5.0
 
@@ -17,11 +18,11 @@
 
 
 class RetirementResponder(prefix_follower.PrefixFollower):
-    """Answers each wish to empty a storage VM.
+    """Answers each request to empty a storage VM.
 
-    Nothing lies on the disks that isn't in the store, so a storage VM
-    is empty at once. Entries answer, so that a storage VM that is down
-    or cut off is answered for too.
+    The disks of a storage VM hold nothing that is not in the store, so it
+    counts as empty at once. Entries write the answers, so that a storage VM
+    that is down or cut off gets an answer too.
     """
 
     def __init__(self, store, codec, cluster_state, vm_id):
@@ -32,17 +33,17 @@
         self._tasks = set()
 
     def load(self, entries_by_key):
-        """Answer all wishes that are there."""
+        """Answer all requests in the store."""
         for key in entries_by_key:
             self._answer(key)
 
     def change(self, change):
-        """Answer a new wish."""
+        """Answer a new request."""
         if change.value is not None:
             self._answer(change.key)
 
     async def stop(self):
-        """Answer no more."""
+        """Stop to follow requests and cancel answers under way."""
         await super().stop()
         await tasks.stop(*self._tasks)
 
--- a/packages/gateway/anvilwell_gateway/substitute_ordering.py
+++ b/packages/gateway/anvilwell_gateway/substitute_ordering.py
@@ -1,8 +1,9 @@
-"""Orders for engines that have no agent beside them, or a silent one.
+"""Orders for engines whose agent is absent or can't be reached.
 
-Only agents order on a calm day. On a deployment without them, or while an
-agent is down or cut off, its engine would keep its version, and no item
-that needs a newer one would ever run there.
+Without faults only agents give orders. In a deployment without agents, or
+while an agent is down or cut off, its engine would keep its version, and
+no item that needs a newer version would run there. An entry gives the
+orders in that case.
 """
 
 import asyncio
@@ -12,36 +13,38 @@
 from anvilwell_gateway import version_loading
 from anvilwell_kernel.telemetry import logs
 
-# Between looks at the engines, in seconds.
+# Seconds between checks of the engines.
 CHECK_INTERVAL_S = 0.5
-# An agent asks for changes each second; one that has not for so long is
-# taken to be absent. The same holds from when this entry has the duty.
+# Seconds without contact after which an agent counts as absent; a running
+# agent requests changes each second. An entry that becomes responsible for
+# a failure domain also waits this long first.
 AGENT_TIMEOUT_S = 3.0
-# After a longer gap between looks this VM stood still itself, and has heard
-# nobody: agents get their time once more. A look that is merely late by a
-# busy core is shorter.
+# A longer gap in seconds between two checks means that this VM itself was
+# suspended and could receive nothing, so agents get the full timeout again.
+# A check that is late because a core is busy causes a shorter gap.
 SUSPENSION_GAP_S = 3 * CHECK_INTERVAL_S
 
 _LOG = logs.get_logger(__name__)
 
 
 class SubstituteOrderer:
-    """Moves the engines of this entry's duty that nobody else moves.
+    """Updates engines without an agent in this entry's failure domains.
 
     Parameters
     ----------
     vm_id : str
-        This VM.
+        Id of this VM.
     directory : directory.Directory
-        The engines, as replicas.
+        The registered replicas, whose addresses are those of engines.
     versions : wanted_versions.WantedVersions
-        What is wanted.
+        The wanted version of each model.
     neighbours : neighbours.Neighbours
-        Which engines are this entry's duty.
-    heard : callable
-        When the agent of the engine at an address was heard, or -inf.
+        Says for which failure domains this entry is responsible.
+    last_contact_at : callable
+        Returns the loop time of the last contact with the agent of the
+        engine at an address, or -inf.
     claims : engine_claims.EngineClaims
-        Whether this VM may order.
+        Decides whether this VM may give an order.
     engine_at : callable
         Returns the `engine.Engine` at an address.
     min_versions_by_model : callable
@@ -74,11 +77,11 @@
         self._check_task = None
 
     def start(self):
-        """Begin to look."""
+        """Start to check the engines at intervals."""
         self._check_task = asyncio.create_task(self._check_forever())
 
     async def stop(self):
-        """Order no more."""
+        """Stop the checks and all loads under way."""
         await tasks.stop(self._check_task, *self._load_tasks_by_key.values())
 
     async def _check_forever(self):
@@ -87,7 +90,7 @@
             self.check_engines()
 
     def check_engines(self):
-        """Start to move each engine that is behind and unattended."""
+        """Start a load for each outdated engine without an agent."""
         now = self._clock()
         if now - self._checked_at > SUSPENSION_GAP_S:
             self._duty_since_by_domain = {}
@@ -122,7 +125,7 @@
         }
 
     def _may_order(self, replica):
-        """Return whether nobody else moves an engine for some time."""
+        """Return whether the agent of an engine is absent."""
         since = self._duty_since_by_domain.get(replica.failure_domain)
         if since is None:
             return False
@@ -151,7 +154,7 @@
             engine.close()
 
     def _load_delay_s(self, replica, model, had):
-        """Return how long to wait before a load, None for no load now."""
+        """Return the seconds to wait before a load, None for no load."""
         wanted = self._versions.wanted_by_model[model]
         min_version = self._min_versions_by_model().get(model)
         lag = None if min_version is None else max(0, wanted - min_version)
@@ -168,10 +171,10 @@
 
 
 def _version(replica, model):
-    """Return the version of `model` at a replica, None if it has none."""
+    """Return the newest version of `model` at a replica, None for none."""
     versions = [one.version for one in replica.versions if one.model == model]
     return max(versions, default=None)
 
 
 def _ignore_report(report):
-    """Take an order's report: the registration tells the rest."""
+    """Ignore a report; the engine's registration shows its versions."""
--- a/packages/gateway/anvilwell_gateway/version_loading.py
+++ b/packages/gateway/anvilwell_gateway/version_loading.py
@@ -1,4 +1,4 @@
-"""Moves one engine to a version that a trainer has named."""
+"""Has one engine load a version that a trainer has named."""
 
 import asyncio
 
@@ -7,30 +7,32 @@
 from anvilwell_kernel.telemetry import logs
 
 POLL_INTERVAL_S = 0.1
-# Between tries of an order that failed, or that may not be given yet.
+# Seconds before the next attempt after an order failed or while this VM may
+# not give one yet.
 RETRY_INTERVAL_S = 0.3
 
 _LOG = logs.get_logger(__name__)
 
 
 class VersionLoader:
-    """Orders until an engine has what was wanted when that began.
+    """Gives orders until one engine has the version that was wanted.
 
-    A newer version may be the turn of others: the items of its step need
-    an engine that isn't loading.
+    A version that is named during a load is not waited for: engines take
+    turns to load, and the items of the step that comes with that version
+    need engines that are not loading.
 
     Parameters
     ----------
     engine : engine.Engine
-        The engine.
+        Connection to the engine.
     address : options.Address
-        Where it serves; names it among all engines.
+        Address of the engine, which identifies it in claims.
     vm_id : str
-        Who orders.
+        Id of the VM that gives the orders.
     claims : engine_claims.EngineClaims
-        Whether this VM may.
+        Decides whether this VM may give an order.
     versions : wanted_versions.WantedVersions
-        What is wanted.
+        The wanted version of each model.
     """
 
     def __init__(self, engine, address, vm_id, claims, versions):
@@ -41,24 +43,24 @@
         self._versions = versions
 
     async def load(self, model, may_order, on_ordered):
-        """Order until the engine has the version wanted now of `model`.
+        """Give orders until the engine has the version wanted at the start.
 
-        What is ordered is the newest one all the same.
+        Each order asks for the newest wanted version, which may be newer.
 
         Parameters
         ----------
         model : str
-            The model.
-        may_go_on : callable
-            Whether the engine still is this VM's to order.
+            Name of the model.
+        may_order : callable
+            Returns whether this VM is still to order for the engine.
         on_ordered : callable
-            Told of each report that an accepted order went by.
+            Called with the engine's report from before each accepted order.
 
         Returns
         -------
         engine.EngineReport or None
-            What shows that the version is there; None if it was another
-            VM's turn before that.
+            The report that shows the version; None if `may_order` returned
+            False first.
         """
         target_version = self._versions.wanted_by_model[model]
         while may_order():
--- a/packages/gateway/anvilwell_gateway/wanted_versions.py
+++ b/packages/gateway/anvilwell_gateway/wanted_versions.py
@@ -1,4 +1,4 @@
-"""The weight versions that trainers name in the store."""
+"""Follows the weight versions that trainers name in the store."""
 
 import asyncio
 
@@ -10,7 +10,11 @@
 
 
 class WantedVersions(prefix_follower.PrefixFollower):
-    """Follows the versions that trainers ask for; they only rise."""
+    """Holds the newest version that a trainer named for each model.
+
+    Older versions that arrive later are ignored. The event ``changed`` is
+    set whenever a version rises.
+    """
 
     def __init__(self, store, codec):
         super().__init__(store, codec.versions_prefix)
@@ -19,12 +23,12 @@
         self.changed = asyncio.Event()
 
     def load(self, entries_by_key):
-        """Take all versions that are there."""
+        """Record all versions in the store."""
         for entry in entries_by_key.values():
             self._record(entry.key, entry.value)
 
     def change(self, change):
-        """Take one version."""
+        """Record a changed version."""
         if change.value is not None:
             self._record(change.key, change.value)
 
