--- a/packages/gateway/anvilwell_gateway/config.py
+++ b/packages/gateway/anvilwell_gateway/config.py
@@ -1,4 +1,4 @@
-"""The settings of a gateway process as a declared schema."""
+"""The schema of a gateway process's settings."""
 
 import typing
 
@@ -12,24 +12,25 @@
 
 
 class DaemonSection(typing.NamedTuple):
-    """``[daemon]``: who and where this process is."""
+    """``[daemon]``: identity, location and resources of this process."""
 
-    vm_id: typing.Annotated[options.Name, Doc("This VM's id")]
+    vm_id: typing.Annotated[options.Name, Doc("Id of this VM")]
     failure_domain: typing.Annotated[
         options.Name, Doc("Failure domain of this VM")
     ]
     cores: typing.Annotated[
-        options.Rate, Doc("How many times one core's speed this VM has")
+        options.Rate, Doc("CPU capacity of this VM, in multiples of one core")
     ] = 1.0
     core_share: typing.Annotated[
-        options.Share, Doc("Share of its cores that is this VM's")
+        options.Share, Doc("Share of that CPU capacity that this VM may use")
     ] = 1.0
     memory_mb: typing.Annotated[
         options.CountOrZero,
-        Doc("Memory of this VM, in megabytes; 0 if that is not known"),
+        Doc("Memory of this VM, in megabytes; 0 if unknown"),
     ] = 0
     link_mbps: typing.Annotated[
-        options.Rate, Doc("What its link carries, in Mbit/s; 0: not known")
+        options.Rate,
+        Doc("Bandwidth of its network link, in Mbit/s; 0 if unknown"),
     ] = 0.0
     drain_limit_s: typing.Annotated[
         options.Duration,
@@ -40,7 +41,9 @@
 class KeyValueSection(typing.NamedTuple):
     """``[keyvalue]``: the platform's key-value service."""
 
-    endpoint: typing.Annotated[options.AddressOption, Doc("Its address")]
+    endpoint: typing.Annotated[
+        options.AddressOption, Doc("Address of the service")
+    ]
     timeout_s: typing.Annotated[
         options.Duration, Doc("Longest wait for one call, in seconds")
     ] = 0.8
@@ -50,13 +53,15 @@
     """``[entry]``: for role ``entry`` only."""
 
     listen: typing.Annotated[
-        options.AddressOption, Doc("Where callers and trainers connect")
+        options.AddressOption,
+        Doc("Address for the connections of callers and trainers"),
     ]
     ready: typing.Annotated[
-        options.AddressOption, Doc("Where the balancer asks for readiness")
+        options.AddressOption,
+        Doc("Address of the readiness check for the balancer"),
     ]
     peers: typing.Annotated[
-        options.AddressOption, Doc("Where other VMs ask it for help")
+        options.AddressOption, Doc("Address for calls from other VMs")
     ]
 
 
@@ -64,7 +69,8 @@
     """``[agent]``: for role ``agent`` only."""
 
     backend: typing.Annotated[
-        options.AddressOption, Doc("Address of the backend server beside it")
+        options.AddressOption,
+        Doc("Address of the backend server on the same VM"),
     ]
     service: typing.Annotated[
         options.Name, Doc("Service that the backend server belongs to")
@@ -72,46 +78,47 @@
 
 
 class OrganisationsSection(typing.NamedTuple):
-    """``[organisations]``: how keys are checked at an entry."""
+    """``[organisations]``: how an entry checks the keys of organisations."""
 
     strict_revocation: typing.Annotated[
         options.Flag,
-        Doc("Whether calls with keys are refused while none can be confirmed"),
+        Doc("Whether to refuse calls with keys while keys can't be confirmed"),
     ] = False
     revocation_limit_s: typing.Annotated[
         options.Duration,
-        Doc("Longest use of a key that was taken away, in seconds"),
+        Doc("Longest time that a revoked key is still accepted, in seconds"),
     ] = 5.0
 
 
 class UsageSection(typing.NamedTuple):
-    """``[usage]``: reports of what organisations use, if there are any."""
+    """``[usage]``: usage reports by organisation; none without it."""
 
     endpoint: typing.Annotated[
-        options.AddressOption, Doc("Where the platform takes reports")
+        options.AddressOption,
+        Doc("Address at which the platform receives reports"),
     ]
     window_s: typing.Annotated[
-        options.Duration, Doc("Length of a window, in seconds")
+        options.Duration, Doc("Length of a usage window, in seconds")
     ] = 5.0
     late_s: typing.Annotated[
         options.Duration,
-        Doc("When a window's report is due after its end, in seconds"),
+        Doc("Time after a window's end when its report is due, in seconds"),
     ] = 10.0
     turn_s: typing.Annotated[
         options.Duration,
-        Doc("Least time between acts of holders in turn, in seconds"),
+        Doc("Least time between reports of successive holders, in seconds"),
     ] = 3.0
 
 
 class MetricsSection(typing.NamedTuple):
-    """``[metrics]``: where a collector reads this process's metrics."""
+    """``[metrics]``: the metrics page of this process."""
 
-    listen: typing.Annotated[options.AddressOption, Doc("Its address")]
+    listen: typing.Annotated[options.AddressOption, Doc("Address of the page")]
     path: typing.Annotated[str, Doc("Path of the page")] = "/metrics"
 
 
 class Settings(typing.NamedTuple):
-    """All settings of a gateway process, checked."""
+    """All validated settings of a gateway process."""
 
     daemon: DaemonSection
     keyvalue: KeyValueSection
@@ -128,7 +135,7 @@
     Raises
     ------
     exceptions.ConfigurationError
-        With every problem found.
+        If the file has problems; lists all of them.
     """
 
     def check(sections_by_name):
--- a/packages/gateway/anvilwell_gateway/configuration.py
+++ b/packages/gateway/anvilwell_gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration that is in force here."""
+"""Follows the operators' configuration and puts new versions in force."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class ConfigurationFollower(prefix_follower.PrefixFollower):
-    """Follows the configuration; its version never goes back."""
+    """Holds the newest configuration; its version never goes back."""
 
     def __init__(self, store, codec):
         self._reading_task = None
@@ -27,31 +27,31 @@
 
     @property
     def current(self):
-        """The configuration in force, None before the first."""
+        """The configuration in force, None before the first one."""
         return self._newest.configuration
 
     def listen(self, callback):
-        """Call `callback` after each change."""
+        """Call `callback` after each change of the configuration."""
         self._listeners.append(callback)
 
     def load(self, entries_by_key):
-        """Take the entry that is there now."""
+        """Read the configuration in the store."""
         entry = entries_by_key.get(self._prefix)
         if entry is not None:
             self._read(entry.value)
 
     def change(self, change):
-        """Take a change of the entry."""
+        """Read a changed configuration."""
         if change.key == self._prefix and change.value is not None:
             self._read(change.value)
 
     async def refresh(self):
-        """Put in force what the store has now.
+        """Read the store's current configuration and put it in force.
 
         Raises
         ------
         exceptions.KeyValueUnavailable
-            If the store can't be asked.
+            If the store can't be reached.
         """
         entry = await self._store.get(self._prefix)
         known = self._revisions_by_key.get(self._prefix, 0)
@@ -62,7 +62,7 @@
             await asyncio.wait((self._reading_task,))
 
     def gauge_values(self):
-        """Return the version in force and its age, if there is one."""
+        """Return the gauges of the version in force and its age, if any."""
         if self.current is None:
             return []
         age_s = asyncio.get_running_loop().time() - self._in_force_since
@@ -72,7 +72,7 @@
         ]
 
     async def stop(self):
-        """Follow no more."""
+        """Stop to follow the configuration and cancel its reading."""
         self._stop_reading()
         await super().stop()
 
@@ -82,9 +82,9 @@
             self._reading_task = None
 
     def _read(self, value):
-        """Read a value that is newer than all before; it ends their reading.
+        """Start to read a newer value and cancel the reading of older ones.
 
-        The first step is done at once: most changes need no more.
+        The first step runs at once, as most changes need only one.
         """
         self._stop_reading()
         steps = self._codec.configuration_steps(value)
@@ -94,12 +94,12 @@
             )
 
     async def _finish_reading(self, steps):
-        """Read on, and let requests be answered between the steps."""
+        """Run the remaining steps; yield to the event loop between them."""
         while not self._read_step(steps):
             await asyncio.sleep(0)
 
     def _read_step(self, steps):
-        """Do one step of reading; return whether it was the last."""
+        """Run one step of reading; return whether it was the last one."""
         try:
             configuration = next(steps)
         except exceptions.ConfigurationError as error:
@@ -110,7 +110,7 @@
         return configuration is not None
 
     def _put_in_force(self, configuration):
-        """Put a configuration in force if it is newer."""
+        """Put a configuration in force if it is newer than the current one."""
         if not self._newest.take(configuration):
             _LOG.log("configuration-older", version=configuration.version)
             return
--- a/packages/gateway/anvilwell_gateway/dialect.py
+++ b/packages/gateway/anvilwell_gateway/dialect.py
@@ -1,4 +1,4 @@
-"""How callers, replicas and the store's entries are spoken, as a port."""
+"""Port that translates the platform's HTTP headers and bodies."""
 
 import abc
 import enum
@@ -8,10 +8,11 @@
 
 
 class RequestHead(typing.NamedTuple):
-    """What a caller's head says; ``timeout_s`` is None if it does not.
+    """The parsed headers of a caller's request.
 
-    ``resume_after`` is the number of the last event that the caller has
-    of a stream, 0 for none.
+    ``timeout_s`` is None if the caller sets no timeout. ``resume_after`` is
+    the number of the last stream event that the caller has received, 0 for
+    none.
     """
 
     request_id: str
@@ -20,12 +21,13 @@
 
 
 class ResponseHead(typing.NamedTuple):
-    """What a replica's head says.
+    """The parsed headers of a replica's response.
 
-    ``seal`` is the replica's proof of its answer, "" if it gives none;
-    ``not_run`` whether it promises that the request did not run, and
-    ``is_other`` whether it is another replica than the one asked.
-    ``load`` is what it tells of its load, None if it doesn't.
+    ``seal`` is the replica's proof of its response, "" if it gives none.
+    ``not_run`` is whether the replica guarantees that the request did not
+    run, and ``is_other`` whether the response is from another replica than
+    the one that was called. ``load`` is the load that the replica reports,
+    None if it reports none.
     """
 
     request_id: str
@@ -37,12 +39,12 @@
 
     @property
     def is_sealed(self):
-        """Whether the replica vouches for the answer."""
+        """Whether the response has a seal."""
         return bool(self.seal)
 
 
 class BatchVerb(enum.Enum):
-    """What a call on a batch asks for."""
+    """The operation that a call on a batch requests."""
 
     READ = "read"
     BODY = "body"
@@ -50,7 +52,7 @@
 
 
 class BatchCall(typing.NamedTuple):
-    """A call on a batch that was accepted before."""
+    """A call on an existing batch."""
 
     verb: BatchVerb
     batch_id: str
@@ -60,70 +62,70 @@
 
 
 class Dialect(abc.ABC):
-    """Translates the heads of requests and answers."""
+    """Translates requests and responses of one platform."""
 
     @abc.abstractmethod
     def read_request_head(self, headers):
-        """Return the `RequestHead` that a caller's headers make."""
+        """Parse a caller's headers into a `RequestHead`."""
 
     @abc.abstractmethod
     def keys(self, headers):
-        """Return all keys of organisations in a caller's headers."""
+        """Return all organisation keys in a caller's headers."""
 
     @abc.abstractmethod
     def without_identity(self, headers):
-        """Return a caller's headers less those that say who it is."""
+        """Return a caller's headers without those that identify it."""
 
     @abc.abstractmethod
     def batch_call(self, request):
-        """Return the `BatchCall` that a request is, or None.
+        """Return the `BatchCall` in a request, None if it is no such call.
 
         Raises
         ------
         exceptions.BadRequest
-            If it is one that can't be understood.
+            If the request is a malformed call on a batch.
         """
 
     @abc.abstractmethod
     def replica_headers(
         self, headers, name, timeout_s, resume_after=0, organisation=""
     ):
-        """Return the headers that a replica is sent.
+        """Return the headers of a request to a replica.
 
         Parameters
         ----------
         headers : messages.Headers
-            Those of the caller, or of a batch's item.
+            The headers of the caller or of a batch's item. Those that name
+            an organisation or a key are removed.
         name : str
-            The replica's own; any other replica refuses the request.
+            Id of the replica; any other replica refuses the request.
         timeout_s : float
-            After which the replica stops.
+            Seconds after which the replica stops.
         resume_after : int
-            Number of the last event that is known; 0 for none.
+            Number of the last event received; 0 for none.
         organisation : str
-            Who sends the request, "" for nobody in particular. Whatever
-            the headers say of that or of a key is left out.
+            Name of the organisation that sends the request, "" for none.
         """
 
     @abc.abstractmethod
     def item_headers(self, item, host):
-        """Return the headers of a batch's item as a request."""
+        """Return the request headers for an item of a batch."""
 
     @abc.abstractmethod
     def scoring_headers(self, scoring_call):
-        """Return the headers of a `facts.ScoringCall` as a request."""
+        """Return the request headers for a `facts.ScoringCall`."""
 
     @abc.abstractmethod
     def read_response_head(self, reply):
-        """Return the `ResponseHead` that a replica's head makes."""
+        """Parse the headers of a replica's response into a `ResponseHead`."""
 
     @abc.abstractmethod
     def read_event(self, block):
-        """Return the `facts.Event` in one block of a stream, or None."""
+        """Return the `facts.Event` in one block of a stream, None if none."""
 
     @abc.abstractmethod
     def failure_headers(self, request_id, retry_after_s):
-        """Return the headers of a failure that this VM answers."""
+        """Return the headers of an error response from this VM."""
 
     @abc.abstractmethod
     def read_submission(self, request):
@@ -132,7 +134,7 @@
         Raises
         ------
         exceptions.BadRequest
-            If the request holds none.
+            If the request holds no valid submission.
         """
 
     @abc.abstractmethod
@@ -141,4 +143,4 @@
 
     @abc.abstractmethod
     def encode_results_page(self, total, results, next_position):
-        """Return the body of a page of results."""
+        """Encode the response body for one page of results."""
--- a/packages/gateway/anvilwell_gateway/duties/__init__.py
+++ b/packages/gateway/anvilwell_gateway/duties/__init__.py
@@ -1,1 +1,1 @@
-"""What one VM at a time does for all: duties and their holder."""
+"""Duties: work that one entry at a time does for all, under a lease."""
--- a/packages/gateway/anvilwell_gateway/duties/duty_election.py
+++ b/packages/gateway/anvilwell_gateway/duties/duty_election.py
@@ -1,10 +1,13 @@
-"""Holds a duty: one entry at a time, with a number that rises.
+"""Elects one entry at a time as the holder of a duty.
 
-The duty goes with the lease of the entry's live key, so it costs no
-renewal of its own, and whoever is taken for dead has lost its duties too.
-The platform need not check numbers. So a holder acts only while its lease
-must still hold by a clock that counts suspension, and who takes a duty
-after another waits until the other can have nothing under way.
+Each holder has a fencing number, which rises with every election. The
+holder's key has the lease of the entry's live key. So it needs no renewal
+of its own, and an entry that counts as dead has lost its duties as well.
+
+The platform need not check fencing numbers. Therefore a holder acts only
+while its lease is certain to hold, by a clock that also advances during
+suspension. A new holder waits until the previous one can have no call
+under way.
 """
 
 import asyncio
@@ -19,32 +22,34 @@
 from anvilwell_outside.ports import keyvalue
 
 PREFIX = f"{cluster_states.PREFIX}duty/"
-# Between looks at who holds the duty, in seconds.
+# Seconds between checks whether the duty is vacant.
 POLL_INTERVAL_S = 0.3
-# The next candidate tries so much later, in seconds: several times what a
-# take-over takes, so that entries seldom write at once.
+# Each candidate waits this many seconds longer than the one ranked before
+# it. That is several times the duration of a takeover, so that entries
+# seldom write at the same time.
 RANK_DELAY_S = 1.0
-# A process that starts waits so long for the others that start with it.
+# Seconds that a process waits after its start for others that start at the
+# same time, so that the candidates are ranked alike.
 STARTUP_WAIT_S = 1.0
 
 _LOG = logs.get_logger(__name__)
 
 
 class Tenure:
-    """A duty that this process holds.
+    """The term during which this process holds a duty.
 
     Parameters
     ----------
-    won : leadership.Tenure
-        Its number and lease.
+    leadership_tenure : leadership.Tenure
+        Its fencing number and lease.
     vm_id : str
-        This VM.
-    free_at : float
-        From when on the holder may act, by `clock`.
+        Id of this VM.
+    may_act_at : float
+        Time by `clock` from which the holder may act.
     session : session.Session
-        Until when its lease holds.
+        The session that renews the lease.
     clock : callable
-        Returns a time that counts suspension, in seconds.
+        Returns a time in seconds that also advances during suspension.
     """
 
     def __init__(self, leadership_tenure, vm_id, may_act_at, session, clock):
@@ -56,46 +61,46 @@
 
     @property
     def fencing(self):
-        """The number of this tenure."""
+        """The fencing number of this tenure."""
         return self._leadership_tenure.fencing
 
     @property
     def is_over(self):
-        """Whether the lease is known to be another one by now."""
+        """Whether the session has another lease by now."""
         return self._session.lease != self._leadership_tenure.lease
 
     def check(self):
-        """Allow one outward act; call right before each.
+        """Check that the holder may act; call right before each act.
 
         Raises
         ------
         exceptions.Fenced
-            If another may hold the duty, or have acted just before.
+            If another VM may hold the duty, or may have acted just before.
         """
         now = self._clock()
         leadership.check_tenure(self._leadership_tenure, self._session, now)
         if now < self._may_act_at:
             raise exceptions.Fenced(
-                "what the holder before has sent may still arrive",
+                "a call of the previous holder may still arrive",
                 reason=reasons.Refusal.NOT_LEADER,
             )
 
 
 class Duty:
-    """One duty, whoever holds it.
+    """A duty, and this process's part in its election.
 
     Parameters
     ----------
     name : str
-        Of the duty.
+        Name of the duty.
     store : store.AsyncStore
-        Where its holder's key lies.
+        The store that has the holder's key.
     presence : presence.Presence
-        This process and its lease.
+        The registration of this process, with its lease.
     cluster_state : cluster_state.ClusterState
-        Who lives, and what changes.
-    turn_s : float
-        Least time between acts of holders that take turns, in seconds.
+        The live entries; it also passes changes of the holder's key on.
+    handover_gap_s : float
+        Least time between the acts of successive holders, in seconds.
     """
 
     def __init__(self, name, store, presence, cluster_state, handover_gap_s):
@@ -111,34 +116,34 @@
         self._is_vacant = False
         self._task = None
         self._holder = None
-        # The number of the last holder that was seen here.
+        # The fencing number of the last holder that this process saw.
         self._last_fencing = 0
         self.tenure = None
         cluster_state.delegate_prefix(self._keys.prefix, self)
 
     @property
     def holder(self):
-        """The VM that holds the duty as far as is known here, or None."""
+        """The id of the VM that holds the duty, None if unknown."""
         if self.tenure and not self.tenure.is_over:
             return self._presence.vm_id
         return self._holder
 
     def start(self):
-        """Begin to look."""
+        """Start to check for a vacant duty."""
         self._task = asyncio.create_task(self._poll_forever())
 
     async def stop(self):
-        """Take the duty no more; it ends with this process's lease."""
+        """Stop the checks; a duty that is held ends with the lease."""
         task, self._task = self._task, None
         await tasks.stop(task)
 
     def load(self, entries_by_key):
-        """Take what the store tells of the holder."""
+        """Read the holder in the store."""
         entry = entries_by_key.get(self._keys.holder)
         self._update_holder(entry and entry.value)
 
     def change(self, change):
-        """Take a change of the holder."""
+        """Read a change of the holder."""
         if change.key == self._keys.holder:
             self._update_holder(change.value)
 
@@ -167,7 +172,7 @@
                 _LOG.log("duty-not-taken", duty=self._name, cause=str(error))
 
     async def _take_if_vacant(self):
-        """Take the duty if nobody has it and it is our turn."""
+        """Take the duty if it is vacant and this candidate's wait is over."""
         if self.tenure and self.tenure.is_over:
             _LOG.log("duty-lost", duty=self._name, fencing=self.tenure.fencing)
             self.tenure = None
@@ -215,11 +220,11 @@
         )
 
     def _may_act_at(self, fencing):
-        """Return from when on the holder with this number may act.
+        """Return the time from which the holder with a number may act.
 
-        The turn counts from when the holder before was seen to be gone, as
-        it did nothing more from then on. Who did not see that holder counts
-        from now.
+        The gap starts when this process saw that the previous holder was
+        gone, as that one did not act after its lease ended. If this process
+        did not see the previous holder, the gap starts now.
         """
         now = self._clock()
         if fencing == 1:
--- a/packages/gateway/anvilwell_gateway/duties/usage_accounting.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_accounting.py
@@ -1,4 +1,4 @@
-"""Usage reports of an entry: counting, telling and reporting together."""
+"""Combines the counting, notification and reporting of usage."""
 
 import abc
 
@@ -7,45 +7,45 @@
 from anvilwell_gateway.duties import usage_reporter
 
 DUTY = "usage"
-# Peers ask for it under this target.
+# Path at which the holder receives the counts of other entries.
 TARGET = usage_notifier.TARGET
 
 
 class UsageAccounting(abc.ABC):
-    """What an entry does about usage."""
+    """An entry's part in counting and reporting usage."""
 
     holder = None
 
     @abc.abstractmethod
     def count_request(self, organisation, at):
-        """Count a request that a replica began at loop time `at`."""
+        """Count a request that a replica started at loop time `at`."""
 
     @abc.abstractmethod
     def start(self):
-        """Begin to count, tell and report."""
+        """Start the election, the notifications and the reports."""
 
     @abc.abstractmethod
     async def release_duty(self):
-        """Leave the duty to another entry; go on to count and tell."""
+        """Release the duty; continue to count and to notify its holder."""
 
     @abc.abstractmethod
     async def stop(self):
-        """Tell what was counted, and end."""
+        """Send the last counts to the holder and stop."""
 
     @abc.abstractmethod
     async def answer(self, request, responder):
-        """Take what another entry tells."""
+        """Accept the counts that another entry sends."""
 
     @abc.abstractmethod
     def gauge_values(self):
-        """Return each `measures.GaugeValue` as of now."""
+        """Return the current `measures.GaugeValue` of each gauge."""
 
 
 class NoUsageAccounting(UsageAccounting):
-    """Of a deployment whose platform wants no reports."""
+    """Usage accounting of a deployment without usage reports."""
 
     def count_request(self, organisation, at):
-        """Count nothing."""
+        """Do nothing."""
 
     def start(self):
         """Do nothing."""
@@ -57,16 +57,16 @@
         """Do nothing."""
 
     async def answer(self, request, responder):
-        """Say that nobody reports here."""
+        """Respond with 404, as this entry accepts no counts."""
         await responder.send(404)
 
     def gauge_values(self):
-        """Return nothing."""
+        """Return no gauges."""
         return []
 
 
 class ReportedUsageAccounting(UsageAccounting):
-    """Counts, tells the holder, and reports if this entry is it."""
+    """Counts usage, notifies the holder, and reports as the holder."""
 
     def __init__(self, duty, reporter, notifier):
         self._duty = duty
@@ -75,7 +75,7 @@
 
     @classmethod
     def from_config(cls, settings, store, presence, cluster_state, platform):
-        """Return the usage reports that `config.UsageSection` asks for."""
+        """Return the accounting that a `config.UsageSection` sets up."""
         duty = duty_election.Duty(
             DUTY, store, presence, cluster_state, settings.turn_s
         )
@@ -89,31 +89,31 @@
 
     @property
     def holder(self):
-        """The VM that reports usage, as far as is known here."""
+        """The id of the VM that reports usage, None if unknown."""
         return self._duty.holder
 
     def count_request(self, organisation, at):
-        """Count a request that a replica began at loop time `at`."""
+        """Count a request that a replica started at loop time `at`."""
         self._notifier.count_request(organisation, at)
 
     def start(self):
-        """Begin to count, tell and report."""
+        """Start the election, the notifications and the reports."""
         self._duty.start()
         self._reporter.start()
         self._notifier.start()
 
     async def release_duty(self):
-        """Leave the duty to another entry; go on to count and tell."""
+        """Release the duty; continue to count and to notify its holder."""
         await self._duty.stop()
         await self._reporter.stop()
 
     async def stop(self):
-        """Tell what was counted, and end."""
+        """Send the last counts to the holder and stop."""
         await self._notifier.stop()
         await self.release_duty()
 
     async def answer(self, request, responder):
-        """Take what another entry tells."""
+        """Accept the counts that another entry sends."""
         counts = usage_notifier.decode_counts(request.body)
         true_time = self._reporter.accept_counts(counts)
         await responder.send(
@@ -121,12 +121,12 @@
         )
 
     def gauge_values(self):
-        """Return each `measures.GaugeValue` as of now."""
+        """Return the current `measures.GaugeValue` of each gauge."""
         return self._reporter.gauge_values()
 
 
 def build(settings, platform, presence, cluster_state):
-    """Return the `UsageAccounting` that the `config.Settings` ask for."""
+    """Return the `UsageAccounting` for `config.Settings`."""
     if settings.usage is None:
         return NoUsageAccounting()
     return ReportedUsageAccounting.from_config(
--- a/packages/gateway/anvilwell_gateway/duties/usage_notifier.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_notifier.py
@@ -1,8 +1,8 @@
-"""Counts the requests that begin here, and tells the holder of the duty.
+"""Counts the requests of this process and notifies the duty's holder.
 
-Counts go from process to process, so they cost the store nothing. What is
-told is always the whole of the windows that are not reported yet: it may
-be told again, to the same holder or to the next one.
+Counts are sent from process to process, so they cause no calls to the
+store. Each notification holds the full counts of all windows that may not
+be reported yet. So it can be repeated, to the same holder or the next one.
 """
 
 import asyncio
@@ -20,13 +20,13 @@
 from anvilwell_kernel.telemetry import logs
 
 TARGET = "/usage"
-# Between looks at what is to be told, in seconds.
+# Seconds between checks whether a notification is due.
 POLL_INTERVAL_S = 0.25
-# What began is told within so long, in seconds: what a process that is
-# killed has not told is missing in a report.
+# Longest time in seconds until the holder is notified of a request. Requests
+# of which a killed process had not notified it are missing in the report.
 NOTIFY_INTERVAL_S = 1.0
-# A window is told as whole so long after its end, in seconds: most of what
-# began in it has an answer by then, or its first event.
+# Seconds after a window's end when its counts are sent as complete. Most
+# requests that began in the window have a response or a first event by then.
 WINDOW_CLOSE_DELAY_S = 0.6
 CALL_LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=4 << 10)
 
@@ -37,33 +37,34 @@
 
 
 def decode_counts(body):
-    """Return the `usage.ProcessCounts` in a request's body.
+    """Decode the `usage.ProcessCounts` in a request's body.
 
     Raises
     ------
     exceptions.BadRequest
-        If it holds none.
+        If the body can't be decoded.
     """
     return peer_calls.decode(_COUNTS_ADAPTER, body, "counts")
 
 
 class UsageNotifier:
-    """Counts here and tells the holder.
+    """Counts the requests of this process and sends them to the holder.
 
     Parameters
     ----------
     presence : presence.Presence
-        This process.
+        The registration of this process.
     cluster_state : cluster_state.ClusterState
-        Where other processes are.
+        The addresses of other entries.
     duty : duty_election.Duty
-        Who the holder is.
+        The duty to report usage, with its holder.
     hear : callable
-        Takes what is told if that is this process; returns true time.
+        Called with the counts if this process is the holder; returns true
+        time.
     settings : config.UsageSection
-        Windows and their reports.
+        The length of windows and the time until their reports are due.
     wall_time : callable, optional
-        What this VM's clock of the day says, in seconds.
+        Returns the Unix time by this VM's clock, in seconds.
     """
 
     def __init__(
@@ -100,11 +101,11 @@
             self._is_changed = True
 
     def start(self):
-        """Begin to tell."""
+        """Start to notify the holder at intervals."""
         self._task = asyncio.create_task(self._notify_forever())
 
     async def stop(self):
-        """Tell no more, after a last time."""
+        """Send a last notification and stop."""
         task, self._task = self._task, None
         if task:
             await tasks.stop(task)
@@ -119,7 +120,7 @@
                 await asyncio.sleep(NOTIFY_INTERVAL_S)
 
     def _is_due(self, holder):
-        """Return whether the holder lacks something that it should know."""
+        """Return whether a notification to the holder is due."""
         if holder != self._notified_holder:
             return True
         now = self._clock()
@@ -130,7 +131,7 @@
         )
 
     def _first_open_window(self, at):
-        """Return the first window that is not over at loop time `at`."""
+        """Return the first window that is not complete at loop time `at`."""
         if math.isinf(at):
             return 0
         return math.floor(
@@ -138,9 +139,10 @@
         )
 
     async def _notify(self, holder):
-        """Tell all that is not reported yet, and learn true time.
+        """Send all counts that may not be reported yet to the holder.
 
-        Return whether it was taken.
+        Its response sets this process's offset to true time. Return whether
+        the holder accepted the counts.
         """
         if holder is None:
             return False
@@ -167,7 +169,7 @@
         self._notified_holder = holder
         self._notified_at = now
         if true_time is not None:
-            # It was true half a round trip ago.
+            # The holder read the time half a round trip ago.
             self._offset_s = true_time - (now + self._clock()) / 2
         return True
 
@@ -176,7 +178,7 @@
             return self._accept_counts(counts)
         address = self._cluster_state.addresses_by_vm.get(holder)
         if address is None:
-            raise exceptions.Refused("the holder is not known to live")
+            raise exceptions.Refused("the holder has no known address")
         body = await peer_calls.call(
             self._pool, holder, address, TARGET, counts, CALL_LIMITS
         )
@@ -184,5 +186,5 @@
 
 
 def encode_true_time(true_time):
-    """Return the body that answers what was told; see `UsageReporter.hear`."""
+    """Encode the response to counts; see `UsageReporter.accept_counts`."""
     return cbor2.dumps(true_time)
--- a/packages/gateway/anvilwell_gateway/duties/usage_platform.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_platform.py
@@ -1,31 +1,32 @@
-"""What the platform is told by the holder of a duty, as a port."""
+"""Port to the platform that receives usage reports."""
 
 import abc
 
 
 class UsagePlatform(abc.ABC):
-    """Takes the calls of duties.
+    """Sends usage reports to the platform.
 
-    Nothing can be read back, and the platform may not check fencing
-    numbers: whoever calls has to know that nobody else does.
+    Reports can't be read back, and the platform may not check fencing
+    numbers. So the caller has to ensure that it is the only holder.
     """
 
     @abc.abstractmethod
     async def report_usage(self, report, tenure):
-        """Tell how many requests organisations began in one window.
+        """Report the number of requests by organisation in one window.
 
         Parameters
         ----------
         report : usage.Report
-            The window and its counts; sent once more, it must be the same.
+            The window and its counts. A window that is reported again must
+            have the same counts.
         tenure : duty_election.Tenure
-            The holder. It is checked once the connection is there, right
-            before the call is written.
+            The holder's tenure. It is checked after the connection is
+            established, right before the call is written.
 
         Raises
         ------
         exceptions.Fenced
-            If the duty may be another's now; nothing was sent.
+            If another VM may hold the duty now; nothing was sent.
         exceptions.BackendFailed
-            If it was not taken, or nobody knows.
+            If the report was not accepted, or the outcome is unknown.
         """
--- a/packages/gateway/anvilwell_gateway/duties/usage_reporter.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_reporter.py
@@ -1,9 +1,10 @@
 """Reports usage by window, as the holder of that duty.
 
-A report lies in the store before it is sent. The ledger is written only
-over what the holder has read, so two that both take themselves for the
-holder can't settle one window in two ways. Whoever sends it later, this
-process or the next holder, sends just that.
+A report is written to the ledger in the store before it is sent. The
+ledger is replaced only if it is still the one that the holder has read. So
+two processes that both act as the holder can't record different reports of
+one window. Whichever process sends a report later, this one or the next
+holder, sends the recorded one.
 """
 
 import asyncio
@@ -23,17 +24,19 @@
 from anvilwell_outside.ports import keyvalue
 
 LEDGER_KEY = "anvilwell/usage/ledger"
-# Between looks at what is due, in seconds.
+# Seconds between checks whether a report is due.
 POLL_INTERVAL_S = 0.25
-# A window is reported so long after its end, in seconds: callers wait for
-# about two seconds, and what began may be known only by its answer.
+# Seconds after a window's end when it is reported if all counts are in.
+# Callers wait for about two seconds, and a request may be counted only when
+# its response arrives.
 REPORT_DELAY_S = 2.0
-# For processes that live but have not told of the whole window, a report
-# waits so long after the window's end, in seconds; they may be cut off.
+# Seconds after a window's end when it is reported although some live
+# processes have not sent counts of the whole window; they may be cut off.
 MAX_REPORT_DELAY_S = 5.0
-# Clocks that were not heard for so long are not counted, in seconds.
+# Age in seconds at which the clock reading of a VM no longer counts towards
+# true time.
 CLOCK_RETENTION_S = 20.0
-# How long the outcome of a write may be unknown, in seconds.
+# Longest time in seconds to find out the result of a write.
 WRITE_TIMEOUT_S = 2.0
 
 _LEDGER_ADAPTER = pydantic.TypeAdapter(usage.Ledger)
@@ -42,24 +45,24 @@
 
 
 class UsageReporter:
-    """Gathers what is told, and reports each window once.
+    """Collects the counts of all processes and reports each window once.
 
     Parameters
     ----------
     store : store.AsyncStore
-        Where reports lie before they are sent.
+        The store that has the ledger.
     presence : presence.Presence
-        This process.
+        The registration of this process.
     cluster_state : cluster_state.ClusterState
-        Which processes live.
+        The live entries.
     duty : duty_election.Duty
-        Whether this process is the holder.
+        The duty to report usage, with its holder.
     platform : usage_platform.UsagePlatform
-        Takes the reports.
+        Receives the reports.
     settings : config.UsageSection
-        Windows and when their reports are due.
+        The length of windows and the time until their reports are due.
     wall_time : callable, optional
-        What this VM's clock of the day says, in seconds.
+        Returns the Unix time by this VM's clock, in seconds.
     """
 
     def __init__(
@@ -95,7 +98,7 @@
         Raises
         ------
         exceptions.Refused
-            If this process does not hold the duty, or has left it.
+            If this process does not hold the duty or has released it.
         """
         is_holder = self._duty.holder == self._presence.vm_id
         if self._task is None or not is_holder:
@@ -105,11 +108,14 @@
         return self._true_time_now() if self._is_time_known() else None
 
     def start(self):
-        """Begin to look for what is due."""
+        """Start to report the windows that are due."""
         self._task = asyncio.create_task(self._poll_forever())
 
     async def stop(self):
-        """Report no more, and leave the next holder what was told."""
+        """Stop reporting and leave the counts in the ledger.
+
+        The next holder reads them there.
+        """
         task, self._task = self._task, None
         if task is None:
             return
@@ -126,7 +132,7 @@
             _LOG.log("usage-not-left", cause=error.message)
 
     def gauge_values(self):
-        """Return whether this process reports, and what it has to send."""
+        """Return the gauges of the duty and of the reports not yet sent."""
         tenure = self._duty.tenure
         return [
             measures.GaugeValue("reports_usage", tenure is not None),
@@ -134,10 +140,10 @@
         ]
 
     def _is_time_known(self):
-        """Return whether the clocks of most VMs that live were heard.
+        """Return whether the clocks of most live VMs have been received.
 
-        Until then a clock that is wrong could be taken for true: a new
-        holder hears all others within about a second.
+        Until then a wrong clock could set true time. A new holder receives
+        all other clocks within about a second.
         """
         self._true_time_now()
         return self._true_time.is_known(
@@ -161,14 +167,14 @@
             try:
                 await self._report_due_windows(self._duty.tenure)
             except exceptions.Fenced as error:
-                # The holder before may have something under way, or this
-                # one's lease may have ended: either shows at a next look.
+                # The previous holder may have a call under way, or this
+                # process's lease may have ended. A later check shows which.
                 _LOG.routine("usage-waits", cause=error.message)
             except exceptions.AnvilwellError as error:
                 _LOG.log("usage-not-reported", cause=error.message)
 
     async def _report_due_windows(self, tenure):
-        """Record what is due, then send what is recorded."""
+        """Record the windows that are due, then send all recorded reports."""
         if self._loaded_tenure is not tenure:
             await self._load(tenure)
         self._collected.forget(self._true_time_now() - 2 * self._late_s)
@@ -178,7 +184,7 @@
         await self._send(tenure)
 
     async def _load(self, tenure):
-        """Learn what the holders before have recorded."""
+        """Load the ledger that previous holders have written."""
         entry = await self._store.get(LEDGER_KEY)
         self._read_ledger(entry)
         for told in self._ledger.told:
@@ -195,7 +201,7 @@
             )
 
     def _due_windows(self):
-        """Return the windows that are to be recorded now, in order."""
+        """Return the windows to record now, in order."""
         now = self._true_time_now()
         first = math.floor((now - self._late_s) / self._window_s)
         first = max(first, self._ledger.last + 1)
@@ -231,12 +237,13 @@
         )
 
     async def _write(self, ledger):
-        """Write the ledger over the one that was read.
+        """Replace the ledger if it is still the one that was read.
 
         Raises
         ------
         exceptions.AnvilwellError
-            If it is another by now, or nobody knows; it is read anew then.
+            If another process has changed it, or the result is unknown. The
+            ledger is loaded again in that case.
         """
         value = cbor2.dumps(ledger)
         swap = keyvalue.Swap(LEDGER_KEY, self._revision, value)
@@ -247,13 +254,15 @@
         entry = result.entries_by_key.get(LEDGER_KEY)
         is_ours = entry is not None and entry.value == value
         if not (result.landed or is_ours):
-            raise exceptions.Conflict("the ledger of usage is another's now")
+            raise exceptions.Conflict(
+                "another process has changed the usage ledger"
+            )
         self._revision = result.revision if result.landed else entry.revision
         self._ledger = ledger
         self._loaded_tenure = tenure
 
     async def _send(self, tenure):
-        """Send what is recorded and not known to have been taken."""
+        """Send the recorded reports that have not been acknowledged."""
         while self._unsent:
             report = self._unsent[0]
             _, end = self._collected.bounds(report.window)
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -1,4 +1,4 @@
-"""An entry: faces callers and trainers, and runs batches."""
+"""The entry role: serves callers and trainers, and runs batches."""
 
 import asyncio
 
@@ -16,27 +16,28 @@
 from anvilwell_gateway import substitute_ordering
 from anvilwell_kernel.telemetry import logs
 
-# After SIGTERM: the balancer asks once a second and needs two misses, so
-# for so long new connections still come.
+# Seconds after SIGTERM during which new connections are still accepted. The
+# balancer checks readiness once a second and stops after two failed checks,
+# so it sends connections until then.
 LISTEN_AFTER_SIGTERM_S = 2.6
-# How long peers are waited for, in seconds. A watch that is relayed for one
-# may wait for many times as long.
+# Longest wait in seconds for the calls of peers at shutdown. A watch that is
+# relayed for a peer may take many times as long, and is aborted.
 PEER_DRAIN_TIMEOUT_S = 1.0
 
 _LOG = logs.get_logger(__name__)
 
 
 class Entry:
-    """Puts the parts of an entry together.
+    """Builds, starts and stops the parts of an entry.
 
     Parameters
     ----------
     settings : config.Settings
-        Addresses and names.
+        The settings of this process.
     platform : platforms.Platform
-        The adapter to the platform.
+        The ports to the platform.
     early_listeners : listening.EarlyListeners, optional
-        What listens already.
+        Sockets that listen already.
     """
 
     def __init__(self, settings, platform, early_listeners=None):
@@ -92,17 +93,17 @@
 
     @property
     def batches(self):
-        """The batches that this entry owns, as batches_by_id."""
+        """The batches that this entry owns, by id."""
         return self._batches.manager.batches_by_id
 
     @property
     def retention(self):
-        """What removes old batches."""
+        """The part that removes old batches."""
         return self._batches.retention
 
     @property
     def directory(self):
-        """The replicas that are known here."""
+        """The directory of registered replicas."""
         return self.fleet.directory
 
     @property
@@ -113,17 +114,17 @@
 
     @property
     def usage_holder(self):
-        """The VM that reports usage, as far as is known here, or None."""
+        """The id of the VM that reports usage, None if unknown."""
         return self.live_calls.usage.holder
 
     @property
     def crash_tracker(self):
-        """Which requests end replicas, as far as is known here."""
+        """The record of requests that crash replicas."""
         return self.live_calls.crash_tracker
 
     @property
     def in_flight(self):
-        """How many requests of callers are under way."""
+        """The number of callers' requests in flight."""
         return self.frontend.in_flight
 
     @property
@@ -133,7 +134,7 @@
 
     @property
     def peer_address(self):
-        """Where other VMs ask this one for help."""
+        """The address at which other VMs call this one."""
         return self.peer_server.address
 
     @property
@@ -148,11 +149,11 @@
 
     @property
     def health_port(self):
-        """The port of readiness."""
+        """The port of the readiness check."""
         return self.frontend.health_port
 
     async def start(self):
-        """Listen and begin to follow the store."""
+        """Listen for connections and start to follow the store."""
         for problem in self._early_listeners.problems:
             _LOG.log("listens-late", cause=problem)
         await self.frontend.start()
@@ -164,10 +165,10 @@
         self._batches.start()
 
     async def drain(self):
-        """Hand over all work, and answer what was read.
+        """Hand over all work and answer the requests that were received.
 
-        Callers go on to use their connections until these end, so all
-        parts that answer work until then; peers are answered last.
+        Callers use their connections until these close, so every part that
+        answers requests runs until then. The server for peers stops last.
         """
         self._batches.refuse_new()
         self.frontend.start_draining()
@@ -190,13 +191,13 @@
             await self.peer_server.abort()
 
     async def abort(self):
-        """Answer what is under way at the end of the drain's limit."""
+        """Abort all requests in flight when the drain reaches its limit."""
         await asyncio.gather(
             self.frontend.abort_requests(), self.peer_server.abort()
         )
 
     async def stop(self):
-        """Close everything."""
+        """Stop all parts and close all connections."""
         await self._substitute_orderer.stop()
         await self.fleet.stop()
         await self.live_calls.stop()
@@ -208,7 +209,7 @@
         self._pool.close()
 
     def _gauge_values(self):
-        """Return each `measures.GaugeValue` as of now."""
+        """Return the current `measures.GaugeValue` of each gauge."""
         return [
             *self.fleet.gauge_values(),
             *self._batches.manager.gauge_values(),
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the platform, the replicas and other entries."""
+"""An entry's view of the configuration, the replicas and other entries."""
 
 import asyncio
 
@@ -15,14 +15,14 @@
 
 
 class Fleet:
-    """Follows the store, and answers the neighbours that follow this entry.
+    """Follows the store, and feeds the neighbours that follow this entry.
 
     Parameters
     ----------
     settings : config.Settings
-        Who this VM is.
+        The settings of this process.
     platform : platforms.Platform
-        The adapter to the platform.
+        The ports to the platform.
     """
 
     def __init__(self, settings, platform):
@@ -67,7 +67,7 @@
 
     @classmethod
     def from_config(cls, settings, platform, peer_server):
-        """Return what the settings ask for; peers ask it by `peer_server`."""
+        """Return a fleet whose handlers are registered at `peer_server`."""
         fleet = cls(settings, platform)
         peer_server.handle(feeds.TARGET, fleet.feeds.answer)
         peer_server.handle(
@@ -83,30 +83,36 @@
 
     @property
     def has_loaded(self):
-        """Whether configuration and replicas are known."""
+        """Whether the configuration and the replicas have been loaded."""
         return (
             self.configuration.current is not None and self.directory.is_loaded
         )
 
     def add_follower(self, follower):
-        """Start and stop one more `PrefixFollower` with the others."""
+        """Add a `PrefixFollower` to those that start and stop with this."""
         self._followers.append(follower)
 
     def last_contact_at(self, engine):
-        """Return when the agent of an engine was heard last, or -inf."""
+        """Return the loop time of an agent's last contact, or -inf.
+
+        Parameters
+        ----------
+        engine : str
+            Address of the agent's engine.
+        """
         return max(
             self.feeds.last_contact_at(engine),
             self.directory.last_notice_at(engine),
         )
 
     def start(self, peer_address):
-        """Register with the address that peers call, and begin to follow."""
+        """Register with the address for peers, and start all followers."""
         self.presence.start(peer_address)
         for follower in self._followers:
             follower.start(self.neighbours, self.feeds)
 
     async def stop(self):
-        """Follow no more."""
+        """Stop all followers and the registration."""
         await asyncio.gather(*(one.stop() for one in self._followers))
         await self.presence.stop()
 
@@ -116,7 +122,7 @@
         self.neighbours.close()
 
     def gauge_values(self):
-        """Return each `measures.GaugeValue` as of now."""
+        """Return the current `measures.GaugeValue` of each gauge."""
         return [
             *self.configuration.gauge_values(),
             *self.presence.gauge_values(),
