--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -315,7 +315,8 @@
         addresses = await self._addresses()
         if model not in self._lags_by_model:
             # Without the lag all engines would load a trainer's first
-            # version: with 31 engines, 30 more loads a day than needed.
+            # version: with 31 engines, that made 30 loads a day beyond
+            # those that cost nothing.
             await lag_task
         lag = self._lags_by_model.get(model)
         position = self._load_position(
--- a/packages/gateway/tests/duties/conftest.py
+++ b/packages/gateway/tests/duties/conftest.py
@@ -1,4 +1,4 @@
-"""Lets the tests here import the world that they share."""
+"""Makes `duty_simulation` importable for the tests in this folder."""
 
 import pathlib
 import sys
--- a/packages/gateway/tests/duties/duty_simulation.py
+++ b/packages/gateway/tests/duties/duty_simulation.py
@@ -1,9 +1,9 @@
-"""VMs that share a duty, a store with leases and a platform, in one loop.
+"""Simulates VMs with a duty, a store with leases and a platform in one loop.
 
-The VMs' presence, duty and reporter are the real ones. A VM that is
-suspended neither sends nor receives; its timers go on, so whatever it
-decides meanwhile is sent when it goes on, as if it had been suspended
-between the check and the send.
+The presence, duty and reporter of each VM are the real classes. A suspended
+VM neither sends nor receives, but its timers keep running. So calls that it
+decides on meanwhile are sent when it resumes, as if it had been suspended
+between a check and the send.
 """
 
 import asyncio
@@ -26,11 +26,13 @@
 TURN_S = 3.0
 ANSWER_S = 0.004
 TIMEOUT_S = 0.8
-# What arrives so soon after its sender goes on does not count.
+# Reports that arrive within this many seconds after their sender resumed do
+# not count as breaches: they stand for reports that were checked before it
+# was suspended.
 RESUME_GRACE_S = 0.3
-# True time when the loop's clock is 0.
+# True time in seconds when the loop's clock is 0.
 EPOCH_S = 1_000_000.0
-# A write without an answer may land so much later.
+# Seconds until a late write is applied, after its call got no response.
 LATE_WRITE_S = 2.5
 SETTINGS = config.UsageSection(
     options.Address("127.0.0.1", 1), WINDOW_S, LATE_S, TURN_S
@@ -38,7 +40,7 @@
 
 
 class FakeStore:
-    """Keeps entries with revisions, and leases that end."""
+    """Fake store with entries, revisions and leases that expire."""
 
     def __init__(self):
         self.revision = 1
@@ -68,7 +70,7 @@
         return lease
 
     def keep(self, lease):
-        """Renew a lease; return whether it held."""
+        """Renew a lease; return whether it was still valid."""
         self._lapse()
         if lease not in self.ends_by_lease:
             return False
@@ -77,7 +79,7 @@
         return True
 
     def read(self, prefix):
-        """Return all entries with a prefix."""
+        """Return a snapshot of all entries under a prefix."""
         self._lapse()
         found = {
             key: entry
@@ -87,7 +89,7 @@
         return keyvalue.Snapshot(found, self.revision)
 
     def swap(self, swaps):
-        """Apply all swaps or none."""
+        """Apply all swaps, or none if one of them conflicts."""
         self._lapse()
         known = {swap.key: self.entries_by_key.get(swap.key) for swap in swaps}
         for swap in swaps:
@@ -107,10 +109,11 @@
 
 
 class StoreConnection:
-    """The store as one VM reaches it.
+    """The connection of one VM to the store, with faults.
 
-    ``fault`` is "" or what happens to its calls: ``silent`` (not done),
-    ``lost`` (done, no answer), ``late`` (writes are done later).
+    ``fault`` is "" or one of ``silent`` (calls are neither applied nor
+    answered), ``lost`` (calls are applied but not answered) and ``late``
+    (writes are applied later and not answered).
     """
 
     def __init__(self, store, vm):
@@ -162,12 +165,12 @@
 
 
 def wall_time():
-    """Return the time of day."""
+    """Return true time in seconds; all clocks are right."""
     return EPOCH_S + asyncio.get_running_loop().time()
 
 
 def _quietly(act):
-    """Do a late write; nobody hears what becomes of it."""
+    """Apply a late write and ignore its result."""
     try:
         act()
     except exceptions.NotFound:
@@ -175,7 +178,11 @@
 
 
 class FakePlatform:
-    """Takes reports; ``fault`` is "", ``busy`` or ``lost``."""
+    """Fake platform that records the reports of one VM.
+
+    ``fault`` is "", ``busy`` (reports are refused) or ``lost`` (reports are
+    recorded, but their responses are lost).
+    """
 
     def __init__(self, vm, calls):
         self._vm = vm
@@ -206,7 +213,7 @@
 
 
 class PollingClusterState:
-    """Polls who lives, and tells the duty of its holder."""
+    """Polls the live entries and passes the holder's key to the duty."""
 
     POLL_S = 0.2
 
@@ -246,7 +253,7 @@
 
 
 class SimulatedVm:
-    """One life of one VM."""
+    """One incarnation of a VM, from start to kill or drain."""
 
     def __init__(self, vm_id, store, calls):
         self.vm_id = vm_id
@@ -275,7 +282,7 @@
         self._tasks = []
 
     async def wait_until_running(self):
-        """Wait while the VM is suspended."""
+        """Wait until the VM is not suspended."""
         await self._running.wait()
 
     @property
@@ -296,7 +303,7 @@
         self._tasks.append(asyncio.create_task(self.cluster_state.run()))
 
     async def kill(self):
-        """End at once, without a word."""
+        """Cancel all tasks without releasing the lease."""
         tasks = [
             *self._tasks,
             self.duty._task,
@@ -309,7 +316,7 @@
         await asyncio.gather(*filter(None, tasks), return_exceptions=True)
 
     async def drain(self):
-        """Leave the duty, then the lease, then end."""
+        """Release the duty, then the lease, then cancel all tasks."""
         await self.duty.stop()
         await self.reporter.stop()
         await self.presence.stop()
@@ -330,7 +337,7 @@
 
 
 class DutySimulation:
-    """Some VMs whose callers send requests all the time."""
+    """VMs whose callers send requests continuously."""
 
     REPORT_INTERVAL_S = 0.5
 
--- a/packages/gateway/tests/duties/test_duty.py
+++ b/packages/gateway/tests/duties/test_duty.py
@@ -1,9 +1,9 @@
-"""One holder of a duty at a time, and one report of a window, at random.
+"""Tests that a duty has one holder and that each window has one report.
 
-The platform checks no number: if two holders act in turns, or a window is
-told twice with different counts, nobody stops them. Store and platform
-answer late, never, or lose answers; VMs are suspended, killed and drained
-at any step.
+The platform does not check fencing numbers. So it can't stop two holders
+that act alternately, or a second report of a window with other counts.
+Random scenarios delay or lose calls to the store and the platform, and
+suspend, kill and drain VMs at any step.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 @pytest.fixture(scope="session")
 def simulate(run_virtual):
-    """Return what plays a scenario and gives its `duty_simulation.World`."""
+    """Return a function that runs a scenario and returns its simulation."""
 
     def play(scenario):
         async def run():
@@ -48,7 +48,7 @@
 
 
 async def _inject(world, vm_id, action, duration_s):
-    """Have something happen to a VM for some time."""
+    """Restart a VM, or inject a fault into it for some seconds."""
     if action in ("kill", "drain"):
         await world.restart(vm_id, action == "drain")
         return
@@ -73,7 +73,8 @@
     "platform-busy",
     "platform-lost",
 )
-# "holder" names whoever holds the duty then: faults seek it out.
+# "holder" stands for the VM that holds the duty at that step, so that
+# faults often hit the holder.
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["holder", *VMS]),
@@ -99,7 +100,7 @@
 
     world = simulate(scenario)
     assert world.breaches() == []
-    # Whatever happened, there is a holder again, and it reports.
+    # After all faults there is a holder again, and it reports.
     now = duty_simulation.EPOCH_S + 3.0 + sum(step[3] for step in steps) + 25.0
     last = max(call.window for call in world.calls)
     assert last >= now // duty_simulation.WINDOW_S - 4
@@ -112,12 +113,13 @@
     world = simulate(scenario)
     counts = {call.window: call.counts for call in world.calls}
     assert len(world.calls) == len(counts) == 6
-    # The first one began before the VMs did: they count half seconds.
+    # The first window began before the VMs started. In the others, three VMs
+    # count one request each half second.
     assert list(counts.values())[1:] == [{"schools": 30}] * 5
 
 
 def test_a_successor_sends_what_was_recorded_and_not_taken(simulate):
-    """The platform lost the answer; the holder was killed then."""
+    """The platform's response is lost, and then the holder is killed."""
 
     async def scenario(world):
         await asyncio.sleep(3.0)
@@ -137,10 +139,11 @@
 
 
 def test_holders_that_leave_one_after_the_other_take_no_turns(simulate):
-    """A release: each holder leaves as soon as it has the duty.
+    """Rolls out a release: each holder drains soon after it got the duty.
 
-    Each has to send what the one before recorded, at once if it may. The
-    first VM is back soon, and has the duty again within three seconds.
+    Each holder has to send the reports that the previous one recorded, as
+    soon as it may act. The first VM restarts soon, and holds the duty again
+    within three seconds.
     """
 
     async def scenario(world):
@@ -164,7 +167,7 @@
 def test_a_holder_that_is_suspended_before_it_sends_is_not_heard_later(
     simulate,
 ):
-    """Its lease ends meanwhile; what it still sends on its return is old."""
+    """The holder's lease ends meanwhile, so its pending report is fenced."""
 
     async def scenario(world):
         await asyncio.sleep(3.0)
@@ -180,7 +183,7 @@
 
 
 def test_a_holder_that_is_drained_and_kept_running_acts_no_more(simulate):
-    """A stopping entry has seconds to go on, but not with the duty."""
+    """A stopping entry runs for some more seconds, but without the duty."""
 
     async def scenario(world):
         await asyncio.sleep(13.0)
@@ -194,7 +197,7 @@
 
 
 def test_a_new_holder_whose_clock_is_wrong_tells_no_time(simulate):
-    """Until it has heard most clocks, its own would be taken for true."""
+    """Before it received most clocks, its own clock would set true time."""
 
     async def scenario(world):
         await asyncio.sleep(3.0)
@@ -216,7 +219,7 @@
 
 
 def test_a_ledger_that_can_t_be_read_is_not_written_over(simulate):
-    """It may be a later release's; what it has settled must not change."""
+    """A later release may have written it; its reports must not change."""
 
     async def scenario(world):
         unreadable = keyvalue.Entry(usage_reporter.LEDGER_KEY, b"?", 1)
@@ -231,13 +234,13 @@
 
 
 def test_a_holder_that_drains_leaves_what_it_was_told(simulate):
-    """Its successor reports what VMs that are gone had told the first."""
+    """Its successor reports the counts of VMs that had stopped before."""
 
     async def scenario(world):
         await asyncio.sleep(12.0)
         (holder,) = world.holders
         gone = next(vm for vm in VMS if vm != holder.vm_id)
-        # Both go within one window, one after the other.
+        # Both VMs drain within one window, one after the other.
         await world.restart(gone, True)
         await asyncio.sleep(1.0)
         await world.restart(holder.vm_id, True)
@@ -253,11 +256,12 @@
 def test_a_turn_counts_from_when_the_holder_before_was_gone(
     simulate, has_seen
 ):
-    """A report was late: it was due within the successor's turn.
+    """Guards against a gap that starts only when the successor is elected.
 
-    The store was silent for ten seconds, and the successor had waited its
-    rank's second already when it took the duty. Who has not seen the holder
-    before can't know since when it is gone.
+    After the store did not respond for ten seconds, a report was late: it
+    was due during the successor's gap, although that VM had already waited
+    for a second because of its rank. A successor that has not seen the
+    previous holder can't know when it stopped, and waits the full gap.
     """
 
     async def scenario(world):
@@ -267,7 +271,7 @@
         await holder.kill()
         del world.vms_by_id[holder.vm_id]
         first, last = world.vms_by_id.values()
-        # The first in turn can't write, so the duty lies vacant for longer.
+        # The first candidate is stopped, so the duty stays vacant for longer.
         ranked = rendezvous.rank_vms("usage", {first.vm_id, last.vm_id})
         if ranked[0] != first.vm_id:
             first, last = last, first
--- a/packages/gateway/tests/test_configuration.py
+++ b/packages/gateway/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, read in steps."""
+"""Tests which configuration is in force while values are read in steps."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class _Codec:
-    """Reads ``version steps`` in that many steps."""
+    """Fake codec: reads ``b"<version> <steps>"`` in that number of steps."""
 
     configuration_key = KEY
 
@@ -28,7 +28,7 @@
 
 class _Store:
     def listen_regained(self, callback):
-        """Never call back."""
+        """Ignore the callback."""
 
 
 def _changed(follower, value, revision):
@@ -40,11 +40,11 @@
     [
         ([b"7 1"], 7, 7),
         ([b"7 5"], None, 7),
-        # The newer one ends the reading of the one before.
+        # A newer value cancels the reading of the older one.
         ([b"7 5", b"8 1"], 8, 8),
         ([b"7 1", b"8 5"], 7, 8),
         ([b"7 1", b"8 3", b"9 5"], 7, 9),
-        # One that can't be read leaves the one in force.
+        # An unreadable value leaves the current version in force.
         ([b"7 1", b"-1 3"], 7, 7),
         ([b"8 1", b"7 4"], 8, 8),
     ],
--- a/packages/gateway/tests/test_engine_claims.py
+++ b/packages/gateway/tests/test_engine_claims.py
@@ -1,4 +1,4 @@
-"""Which VM may order for an engine, in virtual time."""
+"""Tests, in virtual time, which VM may give orders to an engine."""
 
 import asyncio
 import itertools
@@ -13,7 +13,7 @@
 
 
 class _Store:
-    """Keeps one value; answers after `lag_s` seconds."""
+    """Fake store: holds one entry and responds after `lag_s` seconds."""
 
     def __init__(self, lag_s=0.004):
         self.lag_s = lag_s
--- a/packages/gateway/tests/test_reloading.py
+++ b/packages/gateway/tests/test_reloading.py
@@ -1,4 +1,4 @@
-"""Settings that change while the process runs."""
+"""Tests the reload of settings that change while the process runs."""
 
 from anvilwell_gateway import config
 from anvilwell_gateway import reloading
--- a/packages/gateway/tests/test_version_loading.py
+++ b/packages/gateway/tests/test_version_loading.py
@@ -1,4 +1,4 @@
-"""An engine is moved to what was wanted, not on and on."""
+"""Tests that a load ends at the version that was wanted at its start."""
 
 import types
 
@@ -9,7 +9,7 @@
 
 
 class _Engine:
-    """Has each version ordered at its next report."""
+    """Fake engine that reports each ordered version as loaded."""
 
     def __init__(self, versions):
         self._versions = versions
@@ -22,7 +22,7 @@
     async def order(self, order):
         self.ordered.append(order.version)
         self.version = order.version
-        # The trainer's next step is named while the engine loads.
+        # The trainer names its next version while the engine loads.
         self._versions.wanted_by_model[MODEL] += 1
         return engines.OrderResult.ACCEPTED
 
@@ -33,10 +33,11 @@
 
 
 def test_a_version_named_during_a_load_is_left_to_others(run_virtual):
-    """Of six engines none was free for a step that came with two versions.
+    """Guards against engines that all load two versions in a row.
 
-    All of them went on to the second one, which half of them were to skip:
-    the step's first item waited 2.75 s.
+    A trainer named two versions in quick succession, and all six engines
+    loaded the second one too, although half of them should have skipped
+    it. None was free, and the step's first item waited 2.75 s.
     """
     versions = types.SimpleNamespace(wanted_by_model={MODEL: 6})
     engine = _Engine(versions)
