--- a/packages/client/anvilwell_client/stories.py
+++ b/packages/client/anvilwell_client/stories.py
@@ -121,7 +121,7 @@
 def _names(line, ids):
     named = (line.fields.get(key) for key in _LINKS)
     return any(
-        one in ids or organisations.trainers_id(one) in ids
+        one in ids or organisations.unowned_id(one) in ids
         for one in named
         if one
     )
--- a/packages/decisions/anvilwell_decisions/outages/paths.py
+++ b/packages/decisions/anvilwell_decisions/outages/paths.py
@@ -15,7 +15,7 @@
 DIRECT_HOLD_S = 3.0
 
 
-class PathChoice:
+class PathSelector:
     """Leaves a failing path, and returns to the direct one once it works.
 
     Parameters
--- a/packages/decisions/anvilwell_decisions/traffic/facts.py
+++ b/packages/decisions/anvilwell_decisions/traffic/facts.py
@@ -3,7 +3,7 @@
 import typing
 
 
-class Weighted(typing.NamedTuple):
+class WeightedService(typing.NamedTuple):
     """A service and its weight in a route's traffic."""
 
     service: str
@@ -25,7 +25,7 @@
     name: str
     host: str
     path_prefix: str
-    targets: tuple[Weighted, ...]
+    targets: tuple[WeightedService, ...]
     is_batch: bool = False
     is_idempotent: bool = False
     is_resumable: bool = False
--- a/packages/decisions/anvilwell_decisions/traffic/organisations.py
+++ b/packages/decisions/anvilwell_decisions/traffic/organisations.py
@@ -62,7 +62,7 @@
         return found
 
 
-def ranked(route, organisation):
+def with_priority(route, organisation):
     """Return `route` with the organisation's priority, if it has one."""
     if organisation is None or organisation.priority is None:
         return route
@@ -98,6 +98,6 @@
     )
 
 
-def trainers_id(owned_id_):
+def unowned_id(owned_id_):
     """Return the trainer's id of the batch that is stored as ``owned_id_``."""
     return owned_id_.rpartition(_SEPARATOR)[2]
--- a/packages/decisions/anvilwell_decisions/traffic/table.py
+++ b/packages/decisions/anvilwell_decisions/traffic/table.py
@@ -40,7 +40,7 @@
     return rng.choices(names, weights)[0]
 
 
-def may_take(route, service):
+def routes_to(route, service):
     """Return whether `route` sends requests to `service` now."""
     return any(
         target.service == service and target.weight > 0
@@ -48,7 +48,7 @@
     )
 
 
-class Newest:
+class NewestConfiguration:
     """Keeps the newest configuration and rejects older versions."""
 
     def __init__(self):
--- a/packages/decisions/tests/batches/test_scoring.py
+++ b/packages/decisions/tests/batches/test_scoring.py
@@ -7,7 +7,7 @@
     "r",
     "h",
     "/",
-    (facts.Weighted("app", 1.0),),
+    (facts.WeightedService("app", 1.0),),
     timeout_s=2.0,
     target_latency_s=0.2,
 )
--- a/packages/decisions/tests/outages/test_paths.py
+++ b/packages/decisions/tests/outages/test_paths.py
@@ -11,7 +11,7 @@
 
 
 def _choice(*peers):
-    choice = paths.PathChoice(random.Random(1))
+    choice = paths.PathSelector(random.Random(1))
     choice.set_peers(peers)
     return choice
 
--- a/packages/decisions/tests/traffic/test_organisations.py
+++ b/packages/decisions/tests/traffic/test_organisations.py
@@ -52,9 +52,9 @@
 
 
 def test_the_priority_of_an_organisation_overrides_the_route():
-    assert organisations.ranked(ROUTE, ASSOCIATION).priority == 0
-    assert organisations.ranked(ROUTE, SCHOOLS).priority == 2
-    assert organisations.ranked(ROUTE, None).priority == 2
+    assert organisations.with_priority(ROUTE, ASSOCIATION).priority == 0
+    assert organisations.with_priority(ROUTE, SCHOOLS).priority == 2
+    assert organisations.with_priority(ROUTE, None).priority == 2
 
 
 NAMES = st.text(max_size=8)
@@ -67,4 +67,4 @@
     kept_as = organisations.owned_id(one, id_1)
 
     assert (kept_as == organisations.owned_id(other, id_2)) == is_same
-    assert organisations.trainers_id(kept_as) == id_1
+    assert organisations.unowned_id(kept_as) == id_1
--- a/packages/decisions/tests/traffic/test_table.py
+++ b/packages/decisions/tests/traffic/test_table.py
@@ -10,7 +10,7 @@
 
 
 def _route(prefix, host="a.example", **targets):
-    shares = tuple(facts.Weighted(*pair) for pair in targets.items())
+    shares = tuple(facts.WeightedService(*pair) for pair in targets.items())
     return facts.Route(prefix, host, prefix, shares or ())
 
 
@@ -36,12 +36,12 @@
 
     assert drawn["z"] == 0
     assert 60 < drawn["y"] < 140
-    assert [table.may_take(route, name) for name in "xyz"] == [1, 1, 0]
+    assert [table.routes_to(route, name) for name in "xyz"] == [1, 1, 0]
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, 9)))
 def test_an_older_configuration_is_rejected(versions):
-    newest = table.Newest()
+    newest = table.NewestConfiguration()
 
     in_force = []
     for version in versions:
--- a/packages/gateway/anvilwell_gateway/admission.py
+++ b/packages/gateway/anvilwell_gateway/admission.py
@@ -49,7 +49,7 @@
         if route is None:
             raise exceptions.NotFound("no route matches this path")
         sender = self._sender(request, route.is_open)
-        route = organisations.ranked(route, sender)
+        route = organisations.with_priority(route, sender)
         return route, self._anonymous(request, sender)
 
     def admit_batch_call(self, batch_call, request):
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -313,7 +313,7 @@
             batch.state.abandon_rest()
             batch.has_new_results.set()
             return None
-        if not table.may_take(route, batch.service):
+        if not table.routes_to(route, batch.service):
             batch.service = table.choose_service(route, random)
         return batch.service
 
--- a/packages/gateway/anvilwell_gateway/configuration.py
+++ b/packages/gateway/anvilwell_gateway/configuration.py
@@ -19,7 +19,7 @@
         self._reading_task = None
         super().__init__(store, codec.configuration_key)
         self._codec = codec
-        self._newest = table.Newest()
+        self._newest = table.NewestConfiguration()
         self._listeners = []
         self._in_force_since = 0.0
         self.routes = table.RouteTable()
--- a/packages/gateway/anvilwell_gateway/store_paths.py
+++ b/packages/gateway/anvilwell_gateway/store_paths.py
@@ -182,7 +182,7 @@
     def __init__(self, direct, probe, rng=None):
         self.direct = direct
         self._probe_call = probe
-        self._selector = choices.PathChoice(rng or random.Random())
+        self._selector = choices.PathSelector(rng or random.Random())
         clock = asyncio.get_running_loop().time
         self._pool = client.Pool(clock, use_keepalive=True)
         self._paths_by_name = {choices.DIRECT: direct}
--- a/packages/gateway/tests/batches/test_manager.py
+++ b/packages/gateway/tests/batches/test_manager.py
@@ -13,7 +13,7 @@
 from anvilwell_gateway.batches import slot_sharing
 from anvilwell_gateway import directory as directories
 
-ROUTE = facts.Route("r", "h", "/", (facts.Weighted("lm", 1.0),), True)
+ROUTE = facts.Route("r", "h", "/", (facts.WeightedService("lm", 1.0),), True)
 REPLICA = facts.Replica("r0", "lm", None, "a", 2)
 MEMBERSHIP_CHANGED = directories.DirectoryChange(frozenset({"r0"}), True)
 NOTICE_RECEIVED = directories.DirectoryChange(frozenset({"r0"}), False)
--- a/packages/gateway/tests/test_notices.py
+++ b/packages/gateway/tests/test_notices.py
@@ -53,9 +53,12 @@
 
 
 def test_homes_and_live_owners_of_a_service_need_its_notices(run_virtual):
-    targets = (facts.Weighted("lm", 1.0), facts.Weighted("lm-next", 1.0))
+    targets = (
+        facts.WeightedService("lm", 1.0),
+        facts.WeightedService("lm-next", 1.0),
+    )
     route = facts.Route("r", "h", "/", targets, True)
-    plain = facts.Route("p", "h", "/p", (facts.Weighted("app", 1.0),))
+    plain = facts.Route("p", "h", "/p", (facts.WeightedService("app", 1.0),))
     cluster_state = types.SimpleNamespace(
         incarnations_by_vm={"e1": "l1", "e2": "l2", "e3": "l3"},
         live_by_vm={
