--- a/packages/gateway/anvilwell_gateway/duties/usage_notifier.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_notifier.py
@@ -1,8 +1,8 @@
 """Counts the requests of this process and notifies the duty's holder.
 
 Counts are sent from process to process, so they cause no calls to the
-store. Each notification holds the full counts of all windows that may not
-be reported yet. So it can be repeated, to the same holder or the next one.
+store. Each notification holds the full counts of all windows that can still
+be reported. So it can be repeated, to the same holder or the next one.
 """
 
 import asyncio
@@ -95,7 +95,7 @@
         self._task = None
 
     def count_request(self, organisation, at):
-        """Count a request that a replica began at loop time `at`."""
+        """Count a request that a replica started at loop time `at`."""
         if organisation:
             self._request_counter.add(organisation, at)
             self._is_changed = True
@@ -139,10 +139,10 @@
         )
 
     async def _notify(self, holder):
-        """Send all counts that may not be reported yet to the holder.
+        """Send the counts of all windows that can still be reported.
 
-        Its response sets this process's offset to true time. Return whether
-        the holder accepted the counts.
+        The holder's response sets this process's offset to true time.
+        Return whether the holder accepted the counts.
         """
         if holder is None:
             return False
--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -139,7 +139,7 @@
 
     @property
     def incarnations_by_vm(self):
-        """The life of each entry that is known here."""
+        """The incarnation of each live entry, by the id of its VM."""
         return self.fleet.cluster_state.incarnations_by_vm
 
     @property
@@ -191,7 +191,7 @@
             await self.peer_server.abort()
 
     async def abort(self):
-        """Abort all requests in flight when the drain reaches its limit."""
+        """Abort the requests in flight, with a response, at the drain limit."""
         await asyncio.gather(
             self.frontend.abort_requests(), self.peer_server.abort()
         )
