--- a/packages/kernel/anvilwell_kernel/messages/configuration.py
+++ b/packages/kernel/anvilwell_kernel/messages/configuration.py
@@ -83,7 +83,7 @@
 
 
 class ChangeAcknowledged(typing.NamedTuple):
-    """The VMs that have applied a `CommitChange` or an `AbortChange`."""
+    """The VMs that acknowledge a `CommitChange` or an `AbortChange`."""
 
     vm_ids: list[str]
 
--- a/packages/kernel/anvilwell_kernel/messages/operators.py
+++ b/packages/kernel/anvilwell_kernel/messages/operators.py
@@ -81,7 +81,7 @@
 
 
 class Status(TypedDict):
-    """The state of one entry, and the services and members it has."""
+    """The readiness of an entry, and the services and members it lists."""
 
     vm_id: str
     ready: bool
