--- a/packages/bench/anvilwell_bench/configuration/mass_join.py
+++ b/packages/bench/anvilwell_bench/configuration/mass_join.py
@@ -48,17 +48,19 @@
     def put(self, key, value):
         """Write `value` whatever was there."""
         self._revision += 1
-        self.slots_by_key[key] = proposal.Slot(self._revision, value)
+        self.slots_by_key[key] = proposal.StoredValue(self._revision, value)
 
     def _apply(self, action):
         if isinstance(action, flows.ReadKey):
-            return self.slots_by_key.get(action.key, proposal.Slot(0, None))
+            return self.slots_by_key.get(
+                action.key, proposal.StoredValue(0, None)
+            )
         if isinstance(action, flows.ReadRecords):
             return []
         (write,) = action.writes
         self.swaps += 1
         self.written_bytes += len(write.value)
-        found = self.slots_by_key.get(write.key, proposal.Slot(0, None))
+        found = self.slots_by_key.get(write.key, proposal.StoredValue(0, None))
         if found.revision != write.expected:
             return False
         self.put(write.key, write.value)
--- a/packages/bench/anvilwell_bench/control/rollout.py
+++ b/packages/bench/anvilwell_bench/control/rollout.py
@@ -119,7 +119,7 @@
         )
 
     def _agent(self, vm_id, rng):
-        agent = swap.Swap(vm_id, rng, -swap.UNSURE_S)
+        agent = swap.Swap(vm_id, rng, -swap.CONFIRM_TIMEOUT_S)
         agent.gate.raise_to(0)
         if self._scene.is_loaded_ahead:
             agent.read(NEW, 0.0)
@@ -161,11 +161,11 @@
 
     def _end(self, at_s, vm_id, order):
         agent = self._agents_by_id[vm_id]
-        outcome = swap.Outcome.DONE
+        outcome = swap.CallOutcome.DONE
         if order.kind is messages.Kind.ACTIVATE:
             self._swapping -= 1
             if vm_id in self._failing:
-                outcome = swap.Outcome.FAILED
+                outcome = swap.CallOutcome.FAILED
             else:
                 self._versions_by_id[vm_id] = order.version
                 self._sound_s = at_s
--- a/packages/bench/anvilwell_bench/slopes/acts/configuration.py
+++ b/packages/bench/anvilwell_bench/slopes/acts/configuration.py
@@ -48,10 +48,10 @@
 
 def _reading(instances):
     value = registry.encode(registry.MemberList(instances))
-    return proposal.Reading(
-        proposal.Slot(0, None),
-        proposal.Slot(0, None),
-        proposal.Slot(1, value),
+    return proposal.ServiceKeys(
+        proposal.StoredValue(0, None),
+        proposal.StoredValue(0, None),
+        proposal.StoredValue(1, value),
     )
 
 
--- a/packages/bench/anvilwell_bench/slopes/acts/keyvalue.py
+++ b/packages/bench/anvilwell_bench/slopes/acts/keyvalue.py
@@ -52,7 +52,7 @@
     """Lets daemons join their list, one after the other."""
 
     def __init__(self):
-        self.slot = proposal.Slot(0, None)
+        self.slot = proposal.StoredValue(0, None)
         self.calls = 0
         self.bytes = 0
 
@@ -70,9 +70,11 @@
             answer = self._answer(action)
 
     def _answer(self, action):
-        if isinstance(action, proposal.Swap):
+        if isinstance(action, proposal.CompareAndSwap):
             (write,) = action.writes
-            self.slot = proposal.Slot(self.slot.revision + 1, write.value)
+            self.slot = proposal.StoredValue(
+                self.slot.revision + 1, write.value
+            )
             self.bytes = len(write.value)
             return True
         if isinstance(action, flows.ReadKey):
@@ -143,7 +145,7 @@
             except StopIteration:
                 return calls + 1
             calls += 1
-            answer = proposal.Slot(0, None)
+            answer = proposal.StoredValue(0, None)
 
 
 class ChunkWrites(act.Act):
--- a/packages/daemon/anvilwell_daemon/configuration/joining.py
+++ b/packages/daemon/anvilwell_daemon/configuration/joining.py
@@ -52,13 +52,13 @@
         while not await self._try():
             await asyncio.sleep(next(delays_s))
         await self._exchange.exchange_once()
-        self._member.standing.list()
+        self._member.membership.mark_listed()
 
     async def stay_sponsored(self):
         """Ask for a sponsor, and hear from it, until listed."""
-        while not self._member.standing.is_listed:
+        while not self._member.membership.is_listed:
             await asyncio.sleep(SPONSOR_PERIOD_S)
-            if not self._member.standing.is_listed:
+            if not self._member.membership.is_listed:
                 await self._ask()
 
     async def leave(self):
@@ -101,7 +101,7 @@
             return
         for document in answer.documents:
             self._member.learn(document)
-        self._member.standing.hear(answer.sponsor, asked_at)
+        self._member.membership.record_sponsor_answer(answer.sponsor, asked_at)
 
 
 def pauses(rng):
--- a/packages/daemon/anvilwell_daemon/configuration/proposer.py
+++ b/packages/daemon/anvilwell_daemon/configuration/proposer.py
@@ -76,7 +76,7 @@
     def _act(self, actions):
         for action in actions:
             match action:
-                case proposal.Answer(outcome):
+                case proposal.ReportOutcome(outcome):
                     self._answer(outcome)
                 case _:
                     self._spawn(self._carry_out(action))
@@ -87,7 +87,7 @@
                 await self._read()
             case proposal.SendPrepare(prepare):
                 await self._spread.prepare(prepare, self._take)
-            case proposal.Swap():
+            case proposal.CompareAndSwap():
                 await self._swap(action)
             case proposal.SendCommit(message) | proposal.SendAbort(message):
                 await self._spread.tell(message)
--- a/packages/daemon/anvilwell_daemon/configuration/service.py
+++ b/packages/daemon/anvilwell_daemon/configuration/service.py
@@ -244,7 +244,7 @@
         """Return whether this daemon may serve."""
         if self._member is None or self._member.is_leaving:
             return False
-        return self._member.standing.may_serve(self._clock.monotonic())
+        return self._member.membership.may_serve(self._clock.monotonic())
 
     def _answer(self, peers):
         peers.declare(messages.KINDS)
@@ -295,7 +295,7 @@
         if problems:
             reason = reasons.Refusal.BAD_DOCUMENT
             return proposer.refuse(request, reason, problems)
-        if not self._member.standing.is_listed:
+        if not self._member.membership.is_listed:
             reason = reasons.Refusal.NOT_CONFIGURED
             return proposer.refuse(
                 request, reason, ["this daemon has not joined yet"]
--- a/packages/daemon/anvilwell_daemon/configuration/store.py
+++ b/packages/daemon/anvilwell_daemon/configuration/store.py
@@ -54,7 +54,7 @@
             result = await self._carry_out(action)
 
     async def swap(self, action):
-        """Carry out a `proposal.Swap` and return a `SwapAnswer`."""
+        """Carry out a `proposal.CompareAndSwap` and return a `SwapAnswer`."""
         swaps = [
             *(ports.Swap(*write) for write in action.writes),
             *(ports.Guard(*guard) for guard in action.guards),
@@ -92,7 +92,7 @@
 
     async def _carry_out(self, action):
         try:
-            if isinstance(action, proposal.Swap):
+            if isinstance(action, proposal.CompareAndSwap):
                 return (await self.swap(action)).landed
             if isinstance(action, flows.ReadKey):
                 return await self._read_key(action.key)
@@ -106,9 +106,9 @@
         entry = await self._keyvalue.get(
             key, purpose=ports.Purpose.CONFIGURATION
         )
-        slot = proposal.Slot(0, None)
+        slot = proposal.StoredValue(0, None)
         if entry is not None:
-            slot = proposal.Slot(entry.revision, entry.value)
+            slot = proposal.StoredValue(entry.revision, entry.value)
         if key.startswith(registry.RECORD_PREFIX):
             service = service_of(key)
             self._compare(records.decode(slot.value, service), known)
--- a/packages/daemon/anvilwell_daemon/rollout/engine_orders.py
+++ b/packages/daemon/anvilwell_daemon/rollout/engine_orders.py
@@ -41,7 +41,7 @@
         The service that the backend server belongs to.
     engine : ports.engine.Engine
         The engine.
-    unsure_s : float
+    confirm_timeout_s : float
         For how long an order without an answer may still take effect.
     """
 
@@ -56,14 +56,16 @@
         *,
         clock=None,
         rng=None,
-        unsure_s=swaps.UNSURE_S,
+        confirm_timeout_s=swaps.CONFIRM_TIMEOUT_S,
     ):
         self._vm_id = vm_id
         self._service = service
         self._engine = engine
         self._clock = clock or clocks.SystemClock()
         self._rng = rng or random.Random()
-        self._swap = swaps.Swap(vm_id, self._rng, self._now(), unsure_s)
+        self._swap = swaps.Swap(
+            vm_id, self._rng, self._now(), confirm_timeout_s
+        )
         self._learning = asyncio.Lock()
         self._tasks = set()
         self._listeners = []
@@ -146,9 +148,9 @@
         except exceptions.AnvilwellError as error:
             _LOG.log("order-failed", cause=error.message)
             if error.verdict is verdicts.Verdict.NOT_RUN:
-                return swaps.Outcome.FAILED
-            return swaps.Outcome.UNKNOWN
-        return swaps.Outcome.DONE
+                return swaps.CallOutcome.FAILED
+            return swaps.CallOutcome.UNKNOWN
+        return swaps.CallOutcome.DONE
 
     async def _keep_reading(self):
         while True:
--- a/packages/daemon/anvilwell_daemon/rollout/leader.py
+++ b/packages/daemon/anvilwell_daemon/rollout/leader.py
@@ -160,7 +160,7 @@
         for report in answer.reports:
             self._reconciler.report(report)
         for vm_id in answer.missing:
-            self._reconciler.missed(vm_id)
+            self._reconciler.mark_unreachable(vm_id)
         for refusal in answer.refusals:
             name = engine_orders.leadership_name(self._service)
             self._leases.refused(name, refusal.highest)
--- a/packages/daemon/tests/configuration/test_service.py
+++ b/packages/daemon/tests/configuration/test_service.py
@@ -237,11 +237,11 @@
             faults.Fault("lost-before-effect", "/v3/", 0, faults.FOREVER)
         )
         late = await fleet.add("vm-late", "domain-0", "agent")
-        standing = late.configuration._member.standing
+        membership = late.configuration._member.membership
         await fleet.until(lambda: generation(late) == 1)
-        assert not standing.is_listed
+        assert not membership.is_listed
         keyvalue.faults.clear()
-        await fleet.until(lambda: standing.is_listed)
+        await fleet.until(lambda: membership.is_listed)
         outcome = await propose(daemons[0], 2)
         assert outcome.outcome == "in-force"
         await agree(fleet, 2)
--- a/packages/daemon/tests/leases/test_service.py
+++ b/packages/daemon/tests/leases/test_service.py
@@ -66,7 +66,7 @@
         door = listener.Listener("127.0.0.1", 0)
         peers = peers_service.Peers("agent", door)
         orders = engine_orders.EngineOrders(
-            "agent", "lm", engine, clock=self.clock, unsure_s=0.0
+            "agent", "lm", engine, clock=self.clock, confirm_timeout_s=0.0
         )
         kernel = services.Kernel([door, peers, Started(leases), orders])
         await self.start(kernel)
--- a/packages/daemon/tests/rollout/test_rollout.py
+++ b/packages/daemon/tests/rollout/test_rollout.py
@@ -89,7 +89,9 @@
         standin = self.stack.enter_context(engines.Engine(held))
         self.engines.append(standin)
         engine = sse_engine.SseEngine(http_client.HttpClient(standin.address))
-        orders = engine_orders.EngineOrders(vm_id, "lm", engine, unsure_s=0.1)
+        orders = engine_orders.EngineOrders(
+            vm_id, "lm", engine, confirm_timeout_s=0.1
+        )
         await self.start(vm_id, "agent", "lm", [orders])
 
     async def start(self, vm_id, role, name, parts):
--- a/packages/decisions/anvilwell_decisions/configuration/flows.py
+++ b/packages/decisions/anvilwell_decisions/configuration/flows.py
@@ -1,6 +1,6 @@
 """Sequences of calls to the key-value service, as generators.
 
-Each yields an action and is sent its result: a `Slot` or a list of
+Each yields an action and is sent its result: a `StoredValue` or a list of
 them for a read, a bool for a swap, and None when no answer came.
 """
 
@@ -12,7 +12,7 @@
 
 
 class ReadKey(typing.NamedTuple):
-    """Action: read one key; the result is a `proposal.Slot`."""
+    """Action: read one key; the result is a `proposal.StoredValue`."""
 
     key: str
 
@@ -53,7 +53,7 @@
     members = registry.decode(slot.value)
     if instance not in members.instances:
         value = registry.encode(registry.join(members, instance))
-        landed = yield proposal.Swap(
+        landed = yield proposal.CompareAndSwap(
             [proposal.Write(key, slot.revision, value)]
         )
         if not landed:
@@ -71,7 +71,11 @@
     if instance not in members.instances:
         return True
     value = registry.encode(registry.prune(members, [instance]))
-    return (yield proposal.Swap([proposal.Write(key, slot.revision, value)]))
+    return (
+        yield proposal.CompareAndSwap(
+            [proposal.Write(key, slot.revision, value)]
+        )
+    )
 
 
 def resolve(prepare, in_force):
@@ -88,7 +92,7 @@
     found = resolution.resolve(slot, prepare, in_force)
     if found.write is None:
         return found.document
-    landed = yield proposal.Swap([found.write])
+    landed = yield proposal.CompareAndSwap([found.write])
     return found.tombstone if landed else None
 
 
@@ -100,7 +104,7 @@
 
     Returns
     -------
-    proposal.Reading or None
+    proposal.ServiceKeys or None
         None if some call had no answer.
     """
     keys = (
@@ -114,4 +118,4 @@
         if slot is None:
             return None
         slots.append(slot)
-    return proposal.Reading(*slots)
+    return proposal.ServiceKeys(*slots)
--- a/packages/decisions/anvilwell_decisions/configuration/member.py
+++ b/packages/decisions/anvilwell_decisions/configuration/member.py
@@ -47,7 +47,7 @@
     def __init__(self, instance, role, bounds, validate, observe):
         self.instance = instance
         self.role = role
-        self.standing = sponsorship.Standing(bounds)
+        self.membership = sponsorship.Membership(bounds)
         self.is_leaving = False
         self._bounds = bounds
         self._validate = validate
@@ -86,7 +86,7 @@
             raise exceptions.Refused(
                 "this daemon is leaving", reason=reasons.Refusal.DRAINING
             )
-        if not self.standing.may_serve(now):
+        if not self.membership.may_serve(now):
             raise exceptions.Refused(
                 "this daemon has not joined yet",
                 reason=reasons.Refusal.NOT_CONFIGURED,
@@ -102,12 +102,12 @@
         return found.in_force
 
     def learn(self, document):
-        """Take in what a record held; return a `participant.Taken`."""
+        """Take in what a record held; return a `participant.LearnResult`."""
         if not self.role.follows(document.service):
-            return participant.Taken.KNOWN
-        taken = self.participant(document.service).learn(document)
-        self._report(document, taken)
-        return taken
+            return participant.LearnResult.KNOWN
+        result = self.participant(document.service).learn(document)
+        self._observe_if_applied(document, result)
+        return result
 
     def pending(self):
         """Return the `messages.PrepareChange` without a known outcome."""
@@ -144,19 +144,19 @@
     @handle.register
     def _prepare(self, message: messages.PrepareChange, now):
         """Answer for this instance; relaying is done elsewhere."""
-        asked = self._asked(message)
-        if asked.incarnation != self.instance.incarnation:
+        target = self._own_target(message)
+        if target.incarnation != self.instance.incarnation:
             return messages.PrepareAnswer(
-                asked, message.attempt, messages.PrepareState.RESTARTED
+                target, message.attempt, messages.PrepareState.RESTARTED
             )
         service = message.document.service
         if self.is_leaving:
             return messages.PrepareAnswer(
-                asked, message.attempt, messages.PrepareState.LEAVING
+                target, message.attempt, messages.PrepareState.LEAVING
             )
         problems = self._validate(service, message.document.text)
         answer = self.participant(service).prepare(message, problems, now)
-        return answer._replace(instance=asked)
+        return answer._replace(instance=target)
 
     @handle.register
     def _commit(self, message: messages.CommitChange, now):
@@ -165,7 +165,9 @@
         before = part.in_force
         is_known = part.commit(message)
         if part.in_force is not before:
-            self._report(part.in_force, participant.Taken.APPLIED)
+            self._observe_if_applied(
+                part.in_force, participant.LearnResult.APPLIED
+            )
         return messages.ChangeAcknowledged([self.instance.vm_id] * is_known)
 
     @handle.register
@@ -207,7 +209,7 @@
         )
 
     def _may_sponsor(self, services):
-        if not self.standing.is_listed or self.is_leaving:
+        if not self.membership.is_listed or self.is_leaving:
             return False
         if not self.role.covers(services):
             return False
@@ -216,7 +218,7 @@
             for one in self.pending()
         )
 
-    def _asked(self, message):
+    def _own_target(self, message):
         return next(
             (
                 one
@@ -226,6 +228,6 @@
             self.instance,
         )
 
-    def _report(self, document, taken):
-        if taken is participant.Taken.APPLIED:
+    def _observe_if_applied(self, document, result):
+        if result is participant.LearnResult.APPLIED:
             self._observe(document)
--- a/packages/decisions/anvilwell_decisions/configuration/participant.py
+++ b/packages/decisions/anvilwell_decisions/configuration/participant.py
@@ -10,7 +10,7 @@
 _ABORTED_REMEMBERED = 64
 
 
-class Taken(enum.StrEnum):
+class LearnResult(enum.StrEnum):
     """What became of a document that an instance was shown."""
 
     APPLIED = "applied"
@@ -108,21 +108,21 @@
 
         Returns
         -------
-        Taken
+        LearnResult
             ``BEHIND`` if this instance has seen a later write.
         """
         if document.sequence < self.in_force.sequence:
-            return Taken.BEHIND
+            return LearnResult.BEHIND
         if document.generation < self.in_force.generation:
-            return Taken.BEHIND
+            return LearnResult.BEHIND
         if document.sequence == self.in_force.sequence:
-            return Taken.KNOWN
+            return LearnResult.KNOWN
         applied = document.generation > self.in_force.generation
         self.in_force = document
         pending = self.pending
         if pending and document.sequence > pending.prepare.base_sequence:
             self.pending = None
-        return Taken.APPLIED if applied else Taken.KNOWN
+        return LearnResult.APPLIED if applied else LearnResult.KNOWN
 
     def check(self, now):
         """Raise unless new work may be taken under the document.
--- a/packages/decisions/anvilwell_decisions/configuration/proposal.py
+++ b/packages/decisions/anvilwell_decisions/configuration/proposal.py
@@ -20,19 +20,19 @@
 )
 
 
-class Slot(typing.NamedTuple):
+class StoredValue(typing.NamedTuple):
     """A key as it was read; revision 0 and None if it is absent."""
 
     revision: int
     value: bytes | None
 
 
-class Reading(typing.NamedTuple):
+class ServiceKeys(typing.NamedTuple):
     """The keys that a change of one service depends on."""
 
-    record: Slot
-    entries: Slot
-    agents: Slot
+    record: StoredValue
+    entries: StoredValue
+    agents: StoredValue
 
 
 class Write(typing.NamedTuple):
@@ -60,7 +60,7 @@
     prepare: messages.PrepareChange
 
 
-class Swap(typing.NamedTuple):
+class CompareAndSwap(typing.NamedTuple):
     """Action: apply all `writes` if all `guards` hold, else none."""
 
     writes: list[Write]
@@ -79,7 +79,7 @@
     abort: messages.AbortChange
 
 
-class Answer(typing.NamedTuple):
+class ReportOutcome(typing.NamedTuple):
     """Action: tell the operator."""
 
     outcome: outcomes.Outcome
@@ -123,7 +123,7 @@
         self._bounds = bounds
         self._in_force = in_force
         self._started_at = now
-        self._asked_at = now
+        self._prepare_started_at = now
         self._due_at = now
         self._prepare = None
         self._reading = None
@@ -176,7 +176,7 @@
         if self.phase is not Phase.SWAPPING:
             return []
         if landed:
-            return self._land(self._prepare.document)
+            return self._commit(self._prepare.document)
         self.phase = Phase.READING_BACK
         return [Read()]
 
@@ -193,7 +193,7 @@
         if self.phase is not Phase.SWAPPING:
             return []
         if never_sent and not self._is_in_doubt:
-            return self._give_up(reasons.Refusal.KEY_VALUE_UNAVAILABLE)
+            return self._abort(reasons.Refusal.KEY_VALUE_UNAVAILABLE)
         self._is_in_doubt = True
         self.phase = Phase.READING_BACK
         self._due_at = now + self._bounds.retry_s
@@ -236,23 +236,23 @@
             base.sequence,
             [],
         )
-        return self._ask_listed(reading, now)
+        return self._prepare_listed(reading, now)
 
     def _on_reading_back(self, reading, now):
         record = records.decode(reading.record.value, self.request.service)
         landed = records.find_attempt(record, self.attempt)
         if landed is not None:
-            return self._land(self._prepare.document)
+            return self._commit(self._prepare.document)
         if record.sequence > self._prepare.base_sequence:
-            return self._give_up(reasons.Refusal.CONFLICT)
-        return self._ask_listed(reading, now)
+            return self._abort(reasons.Refusal.CONFLICT)
+        return self._prepare_listed(reading, now)
 
-    def _ask_listed(self, reading, now):
+    def _prepare_listed(self, reading, now):
         self._reading = reading
-        self._asked_at = now
+        self._prepare_started_at = now
         self._due_at = now + self._bounds.retry_s
         self.phase = Phase.PREPARING
-        return self._ask(self._listed()) + self._swap_if_ready()
+        return self._send_prepare(self._listed()) + self._swap_if_ready()
 
     def _listed(self):
         slots = (self._reading.entries, self._reading.agents)
@@ -262,12 +262,12 @@
             for instance in registry.decode(slot.value).instances
         ]
 
-    def _ask(self, instances):
-        new = [one for one in instances if not self._is_asked(_key(one))]
+    def _send_prepare(self, instances):
+        new = [one for one in instances if not self._was_asked(_key(one))]
         self._waiting_by_key.update((_key(one), one) for one in new)
         return [SendPrepare(self._prepare._replace(targets=new))] * bool(new)
 
-    def _is_asked(self, key):
+    def _was_asked(self, key):
         return (
             key in self._waiting_by_key
             or key in self._prepared_by_key
@@ -277,7 +277,7 @@
     def _on_refusal(self, answer):
         vm_id = answer.instance.vm_id
         problems = [f"{vm_id}: {problem}" for problem in answer.problems]
-        return self._give_up(
+        return self._abort(
             answer.reason, problems or [f"{vm_id}: {answer.reason}"]
         )
 
@@ -286,7 +286,7 @@
             return []
         self._swaps += 1
         if self._swaps > self._bounds.swap_attempts and not self._is_in_doubt:
-            return self._give_up(reasons.Refusal.CONFLICT)
+            return self._abort(reasons.Refusal.CONFLICT)
         self.phase = Phase.SWAPPING
         return [self._accepting_swap()]
 
@@ -300,7 +300,7 @@
                 self._reading.agents,
             ),
         )
-        return Swap(
+        return CompareAndSwap(
             [
                 self._accepting_write(),
                 *(one for one in lists if isinstance(one, Write)),
@@ -336,11 +336,11 @@
         return Write(key, slot.revision, registry.encode(kept))
 
     def _tick_preparing(self, now):
-        if now >= self._asked_at + self._bounds.prepare_s:
+        if now >= self._prepare_started_at + self._bounds.prepare_s:
             missing = sorted(
                 one.vm_id for one in self._waiting_by_key.values()
             )
-            return self._give_up(
+            return self._abort(
                 reasons.Refusal.MEMBERS_MISSING, missing=missing
             )
         if now < self._due_at:
@@ -359,7 +359,7 @@
             outcomes.OutcomeKind.UNKNOWN, reasons.Refusal.OUTCOME_UNKNOWN
         )
 
-    def _land(self, document):
+    def _commit(self, document):
         self.phase = Phase.DONE
         commit = messages.CommitChange(
             self.attempt,
@@ -373,7 +373,7 @@
         )
         return [SendCommit(commit), *answer]
 
-    def _give_up(self, reason, problems=(), missing=()):
+    def _abort(self, reason, problems=(), missing=()):
         """End a change of which no write can land any more."""
         if self._is_in_doubt and self.phase is Phase.PREPARING:
             # A write without these members may still land: only the
@@ -421,7 +421,7 @@
             str(reason),
             **details,
         )
-        return [Answer(outcome)]
+        return [ReportOutcome(outcome)]
 
 
 def _key(instance):
--- a/packages/decisions/anvilwell_decisions/configuration/resolution.py
+++ b/packages/decisions/anvilwell_decisions/configuration/resolution.py
@@ -27,7 +27,7 @@
 
     Parameters
     ----------
-    slot : proposal.Slot
+    slot : proposal.StoredValue
         The service's record as it was read.
     prepare : messages.PrepareChange
         The attempt in doubt.
--- a/packages/decisions/anvilwell_decisions/configuration/sponsorship.py
+++ b/packages/decisions/anvilwell_decisions/configuration/sponsorship.py
@@ -7,10 +7,10 @@
     """Whom an instance depends on, and when it last heard from it."""
 
     sponsor: object
-    heard_at: float
+    last_contact_at: float
 
 
-class Standing:
+class Membership:
     """Whether this instance may serve at all.
 
     It may once it is in the service's member list, or for a bound
@@ -25,12 +25,12 @@
         self.is_listed = False
         self.sponsored = None
 
-    def list(self):
+    def mark_listed(self):
         """Note that this instance is in the member list."""
         self.is_listed = True
         self.sponsored = None
 
-    def hear(self, sponsor, asked_at):
+    def record_sponsor_answer(self, sponsor, asked_at):
         """Note an answer of `sponsor` to a question of `asked_at`."""
         if self.is_listed:
             return
@@ -42,4 +42,4 @@
             return True
         if self.sponsored is None:
             return False
-        return now - self.sponsored.heard_at < self._bounds.sponsor_s
+        return now - self.sponsored.last_contact_at < self._bounds.sponsor_s
--- a/packages/decisions/anvilwell_decisions/rollout/grants.py
+++ b/packages/decisions/anvilwell_decisions/rollout/grants.py
@@ -3,8 +3,8 @@
 LOADS_PER_S = 20.0
 MIN_LOADS_PER_S = 0.5
 BURST_S = 1.0
-SLOW_DOWN = 0.5
-SPEED_UP_PER_S = 0.05
+SLOWDOWN_FACTOR = 0.5
+RECOVERY_PER_S = 0.05
 
 
 class LoadGrants:
@@ -30,13 +30,13 @@
         """Give tokens for the time since the last call to `domains`."""
         elapsed = 0.0 if self._filled_at is None else now - self._filled_at
         self._filled_at = now
-        recovered = self._limit * SPEED_UP_PER_S * elapsed
+        recovered = self._limit * RECOVERY_PER_S * elapsed
         self._rate = min(self._limit, self._rate + recovered)
         share = self._rate / max(len(domains), 1)
-        top = max(share * BURST_S, 1.0)
+        capacity = max(share * BURST_S, 1.0)
         old = self._tokens_by_domain
         self._tokens_by_domain = {
-            domain: min(old.get(domain, 1.0) + share * elapsed, top)
+            domain: min(old.get(domain, 1.0) + share * elapsed, capacity)
             for domain in domains
         }
 
@@ -48,6 +48,6 @@
         self._tokens_by_domain[domain] = tokens - 1.0
         return True
 
-    def failed(self):
+    def slow_down(self):
         """Slow down after a failed load."""
-        self._rate = max(self._rate * SLOW_DOWN, MIN_LOADS_PER_S)
+        self._rate = max(self._rate * SLOWDOWN_FACTOR, MIN_LOADS_PER_S)
--- a/packages/decisions/anvilwell_decisions/rollout/reconciler.py
+++ b/packages/decisions/anvilwell_decisions/rollout/reconciler.py
@@ -10,7 +10,7 @@
 
 STATUS_PERIOD_S = 600.0
 UNSETTLED_STATUS_PERIOD_S = 1.0
-ANSWER_LIMIT_S = 20.0
+STATUS_TIMEOUT_S = 20.0
 _ROUNDING = 1e-9
 
 
@@ -60,10 +60,10 @@
         self._grants = load_grants or grants.LoadGrants()
         self._numbers = itertools.count(1)
         self._replicas_by_id = {}
-        self._asked_at_by_id = {}
+        self._status_sent_at_by_id = {}
         self._unanswered = set()
         self._desired = None
-        self._ahead = None
+        self._version_ahead = None
 
     def desire(self, desired):
         """Take what the document wants from now on."""
@@ -71,7 +71,7 @@
 
     def load_ahead(self, version):
         """Have `version` loaded before any document wants it."""
-        self._ahead = version
+        self._version_ahead = version
 
     def set_members(self, domains_by_id):
         """Take the replicas that there are, with their domains."""
@@ -88,15 +88,15 @@
             return
         self._unanswered.discard(report.vm_id)
         was_waiting = replica.is_waiting
-        is_taken = replica.take(report, self._fencing)
-        if is_taken and replica.is_waiting and not was_waiting:
-            self._grants.failed()
+        is_accepted = replica.accept(report, self._fencing)
+        if is_accepted and replica.is_waiting and not was_waiting:
+            self._grants.slow_down()
 
-    def missed(self, vm_id):
+    def mark_unreachable(self, vm_id):
         """Note that an agent gave no answer."""
         self._unanswered.discard(vm_id)
         if vm_id in self._replicas_by_id:
-            self._replicas_by_id[vm_id].missed()
+            self._replicas_by_id[vm_id].mark_unreachable()
 
     def tick(self, now):
         """Return the `messages.Order` to send now, as orders_by_id."""
@@ -124,7 +124,7 @@
             loaded=sum(r.has_loaded(version) for r in found),
             failed=sum(r.has_failed(version, generation) for r in found),
             unreachable=sum(r.report is None for r in found),
-            is_blocked=bool(found) and self._room(len(found)) <= 0,
+            is_blocked=bool(found) and self._swappable_count(len(found)) <= 0,
         )
 
     def _is_done(self, replica):
@@ -139,24 +139,24 @@
             for vm_id in self._replicas_by_id
             if self._is_status_due(vm_id, now, is_settled)
         ]
-        self._asked_at_by_id.update(dict.fromkeys(due, now))
+        self._status_sent_at_by_id.update(dict.fromkeys(due, now))
         self._unanswered.update(due)
         return {
             vm_id: self._order(messages.Kind.STATUS, "", 0, 0) for vm_id in due
         }
 
     def _is_status_due(self, vm_id, now, is_settled):
-        asked_at = self._asked_at_by_id.get(vm_id)
-        if asked_at is None:
+        sent_at = self._status_sent_at_by_id.get(vm_id)
+        if sent_at is None:
             return True
-        if vm_id in self._unanswered and now - asked_at < ANSWER_LIMIT_S:
+        if vm_id in self._unanswered and now - sent_at < STATUS_TIMEOUT_S:
             return False
         replica = self._replicas_by_id[vm_id]
-        is_quiet = is_settled or self._waits_only(replica)
+        is_quiet = is_settled or self._is_idle(replica)
         period_s = STATUS_PERIOD_S if is_quiet else UNSETTLED_STATUS_PERIOD_S
-        return now - asked_at >= period_s
+        return now - sent_at >= period_s
 
-    def _waits_only(self, replica):
+    def _is_idle(self, replica):
         """Return whether nothing can change without an order of ours."""
         return (
             replica.report is not None
@@ -166,8 +166,11 @@
 
     def _load_orders(self, now):
         wanted = [(self._desired.version, self._desired.generation)]
-        if self._ahead and self._ahead != self._desired.version:
-            wanted.append((self._ahead, 0))
+        if (
+            self._version_ahead
+            and self._version_ahead != self._desired.version
+        ):
+            wanted.append((self._version_ahead, 0))
         loads = [
             (replica, version, generation)
             for version, generation in wanted
@@ -183,7 +186,7 @@
             if replica.vm_id in orders_by_id:
                 continue
             if self._grants.take(replica.failure_domain):
-                orders_by_id[replica.vm_id] = self._give(
+                orders_by_id[replica.vm_id] = self._issue_order(
                     replica, messages.Kind.LOAD, version, generation, now
                 )
         return orders_by_id
@@ -200,17 +203,19 @@
         ]
         if not ready:
             return {}
-        again = [r for r in ready if not r.is_in_service]
-        fresh = [r for r in ready if r.is_in_service]
-        room = max(self._room(len(self._replicas_by_id)), 0)
+        out_of_service = [r for r in ready if not r.is_in_service]
+        in_service = [r for r in ready if r.is_in_service]
+        swappable = max(self._swappable_count(len(self._replicas_by_id)), 0)
         return {
-            replica.vm_id: self._give(
+            replica.vm_id: self._issue_order(
                 replica, messages.Kind.ACTIVATE, version, generation, now
             )
-            for replica in itertools.chain(again, fresh[:room])
+            for replica in itertools.chain(
+                out_of_service, in_service[:swappable]
+            )
         }
 
-    def _room(self, total):
+    def _swappable_count(self, total):
         """Return how many replicas may leave service now."""
         floor = self._desired.live_floor if self._desired else 1.0
         in_service = sum(
@@ -218,10 +223,10 @@
         )
         return in_service - math.ceil(total * floor - _ROUNDING)
 
-    def _give(self, replica, kind, version, generation, now):
+    def _issue_order(self, replica, kind, version, generation, now):
         number = next(self._numbers)
         order = self._order(kind, version, generation, number)
-        replica.ordered(order, now)
+        replica.record_order(order, now)
         return order
 
     def _order(self, kind, version, generation, number):
--- a/packages/decisions/anvilwell_decisions/rollout/replicas.py
+++ b/packages/decisions/anvilwell_decisions/rollout/replicas.py
@@ -22,7 +22,7 @@
         self._ordered_at = None
         self._sequence = 0
 
-    def take(self, report, fencing):
+    def accept(self, report, fencing):
         """Take `report` if it was made under our `fencing`."""
         if report.fencing != fencing or report.sequence <= self._sequence:
             return False
@@ -32,11 +32,11 @@
             self.order = None
         return True
 
-    def missed(self):
+    def mark_unreachable(self):
         """Note that it gave no answer."""
         self.report = None
 
-    def ordered(self, order, now):
+    def record_order(self, order, now):
         """Note `order`, sent at `now`."""
         self.order = order
         self._ordered_at = now
--- a/packages/decisions/anvilwell_decisions/rollout/swap.py
+++ b/packages/decisions/anvilwell_decisions/rollout/swap.py
@@ -10,7 +10,7 @@
 FIRST_BACKOFF_S = 0.5
 LAST_BACKOFF_S = 8.0
 MAX_FAILED = 16
-UNSURE_S = 10.0
+CONFIRM_TIMEOUT_S = 10.0
 _ACTIVATE = messages.Kind.ACTIVATE
 
 _ACTIVITIES_BY_KIND = {
@@ -19,7 +19,7 @@
 }
 
 
-class Outcome(enum.Enum):
+class CallOutcome(enum.Enum):
     """What came of an engine call."""
 
     DONE = "done"
@@ -41,8 +41,8 @@
     document's generation; applying the document again retries it.
 
     An engine whose answer was lost, or whose agent has just started,
-    may still be about to swap: for `unsure_s` seconds it takes no order
-    and counts as swapping.
+    may still be about to swap: for `confirm_timeout_s` seconds it takes no
+    order and counts as swapping.
 
     Parameters
     ----------
@@ -54,7 +54,7 @@
         When the agent started.
     """
 
-    def __init__(self, vm_id, rng, now, unsure_s=UNSURE_S):
+    def __init__(self, vm_id, rng, now, confirm_timeout_s=CONFIRM_TIMEOUT_S):
         self.gate = fencing.FencingGate()
         self._vm_id = vm_id
         self._rng = rng
@@ -63,9 +63,9 @@
         self._failures_by_attempt = {}
         self._failed = []
         self._running = None
-        self._unsure = None
-        self._unsure_s = unsure_s
-        self._unsure_until = now + unsure_s
+        self._unconfirmed = None
+        self._confirm_timeout_s = confirm_timeout_s
+        self._unconfirmed_until = now + confirm_timeout_s
         self._wait_until = None
         self._last = (0, 0)
         self._sequence = 0
@@ -87,7 +87,7 @@
         self._last = (order.fencing, order.number)
         if self._activity(now) is not messages.Activity.IDLE:
             return []
-        if self._is_needless(order):
+        if self._is_no_op(order):
             return []
         self._running = order
         return [Execute(order)]
@@ -101,9 +101,9 @@
         order, self._running = self._running, None
         if self._is_done(order, outcome):
             self._succeed(order)
-        elif order.kind is _ACTIVATE and outcome is Outcome.UNKNOWN:
-            self._unsure = order
-            self._unsure_until = now + self._unsure_s
+        elif order.kind is _ACTIVATE and outcome is CallOutcome.UNKNOWN:
+            self._unconfirmed = order
+            self._unconfirmed_until = now + self._confirm_timeout_s
         else:
             self._fail(order, now)
 
@@ -112,15 +112,15 @@
         if version:
             self._loaded.add(version)
         self._version = version
-        order = self._unsure
+        order = self._unconfirmed
         if order is None:
             return
         if version == order.version:
-            self._unsure = None
-            self._unsure_until = now
+            self._unconfirmed = None
+            self._unconfirmed_until = now
             self._succeed(order)
-        elif now >= self._unsure_until:
-            self._unsure = None
+        elif now >= self._unconfirmed_until:
+            self._unconfirmed = None
             self._fail(order, now)
 
     def report(self, now, wall_ms):
@@ -148,7 +148,7 @@
         """Return the `messages.Refusal` that tells of the door."""
         return messages.Refusal(self._vm_id, self.gate.highest or 0)
 
-    def _is_needless(self, order):
+    def _is_no_op(self, order):
         """Return whether `order` has nothing to do or cannot work."""
         if order.kind is messages.Kind.LOAD:
             return order.version in self._loaded
@@ -158,7 +158,7 @@
     def _is_done(self, order, outcome):
         if order.kind is _ACTIVATE:
             return self._version == order.version
-        return outcome is Outcome.DONE
+        return outcome is CallOutcome.DONE
 
     def _succeed(self, order):
         self._loaded.add(order.version)
@@ -176,8 +176,8 @@
         backoff_s = min(FIRST_BACKOFF_S * 2 ** (count - 1), LAST_BACKOFF_S)
         self._wait_until = now + backoff_s * self._rng.uniform(0.5, 1.5)
 
-    def _is_unsure(self, now):
-        return self._unsure is not None or now < self._unsure_until
+    def _is_unconfirmed(self, now):
+        return self._unconfirmed is not None or now < self._unconfirmed_until
 
     def _is_waiting(self, now):
         return self._wait_until is not None and now < self._wait_until
@@ -185,7 +185,7 @@
     def _activity(self, now):
         if self._running:
             return _ACTIVITIES_BY_KIND[self._running.kind]
-        if self._is_unsure(now):
+        if self._is_unconfirmed(now):
             return messages.Activity.ACTIVATING
         if self._is_waiting(now):
             return messages.Activity.WAITING
--- a/packages/decisions/tests/configuration/configuration_store.py
+++ b/packages/decisions/tests/configuration/configuration_store.py
@@ -17,14 +17,14 @@
         self.is_up = True
 
     def apply(self, action):
-        if isinstance(action, proposal.Swap):
+        if isinstance(action, proposal.CompareAndSwap):
             return self._swap(action)
         if isinstance(action, flows.ReadKey):
             return self.read(action.key)
         return [records.document_of(self.record())]
 
     def read(self, key):
-        return self.slots_by_key.get(key, proposal.Slot(0, None))
+        return self.slots_by_key.get(key, proposal.StoredValue(0, None))
 
     def record(self):
         slot = self.read(registry.record_key(SERVICE))
@@ -38,7 +38,7 @@
             return False
         self.revision += 1
         for one in action.writes:
-            self.slots_by_key[one.key] = proposal.Slot(
+            self.slots_by_key[one.key] = proposal.StoredValue(
                 self.revision, one.value
             )
         return True
--- a/packages/decisions/tests/configuration/configuration_world.py
+++ b/packages/decisions/tests/configuration/configuration_world.py
@@ -103,10 +103,10 @@
         now = self.world.now
         if self.proposal:
             self.act(self.proposal.tick(now))
-        standing = self.member.standing
-        if not standing.is_listed and not self.is_joining:
+        membership = self.member.membership
+        if not membership.is_listed and not self.is_joining:
             self.join()
-        if not standing.is_listed:
+        if not membership.is_listed:
             self._ask_sponsor()
         for prepare in self.member.resolutions_due(self._position, now):
             if prepare.attempt not in self.resolving:
@@ -125,12 +125,12 @@
             case proposal.SendPrepare(prepare):
                 for target in prepare.targets:
                     self.world.send(self, target, prepare, self._on_answer)
-            case proposal.Swap():
+            case proposal.CompareAndSwap():
                 self.world.call(self, action, self._on_swap)
             case proposal.SendCommit(message) | proposal.SendAbort(message):
                 for target in message.targets:
                     self.world.send(self, target, message, None)
-            case proposal.Answer(outcome):
+            case proposal.ReportOutcome(outcome):
                 self.world.on_outcome(me.attempt, me.request, outcome)
 
     def _on_reading(self, reading):
@@ -171,7 +171,7 @@
             return
         for document in documents:
             self.member.learn(document)
-        self.member.standing.list()
+        self.member.membership.mark_listed()
 
     def _resolved(self, attempt, document):
         self.resolving.discard(attempt)
@@ -198,7 +198,7 @@
             return
         for document in answer.documents:
             self.member.learn(document)
-        self.member.standing.hear(answer.sponsor, asked_at)
+        self.member.membership.record_sponsor_answer(answer.sponsor, asked_at)
 
     def _position(self, prepare):
         fellows = [
@@ -306,7 +306,7 @@
                 one
                 for one in self.wire
                 if isinstance(one, Call)
-                and isinstance(one.action, proposal.Swap)
+                and isinstance(one.action, proposal.CompareAndSwap)
             ]
             if swaps:
                 self.held += swaps
--- a/packages/decisions/tests/configuration/test_agreement.py
+++ b/packages/decisions/tests/configuration/test_agreement.py
@@ -161,7 +161,7 @@
     def _is_free(self, node):
         if not node.is_alive or node.is_paused or node.member.is_leaving:
             return False
-        if not node.member.standing.is_listed:
+        if not node.member.membership.is_listed:
             return False
         return node.proposal is None or node.proposal.phase == "done"
 
--- a/packages/decisions/tests/configuration/test_scenarios.py
+++ b/packages/decisions/tests/configuration/test_scenarios.py
@@ -41,7 +41,7 @@
     """Return whether the accepting write is the next call."""
     return any(
         isinstance(thing, worlds.Call)
-        and isinstance(thing.action, proposal.Swap)
+        and isinstance(thing.action, proposal.CompareAndSwap)
         for thing in world.wire
     )
 
@@ -155,7 +155,7 @@
     deliver_until(world, lambda: len(proposer.proposal._waiting_by_key) == 1)
     world.find_gone(proposer)
     swap = world.wire.pop()
-    assert isinstance(swap.action, proposal.Swap)
+    assert isinstance(swap.action, proposal.CompareAndSwap)
     world.nodes_by_id["b2"].start()
     world.flush()
     world.wire.append(swap)
@@ -206,7 +206,7 @@
     world.advance(worlds.STEP_S)
     world.flush()
     assert world.generation_served(starting) == 1
-    assert not starting.member.standing.is_listed
+    assert not starting.member.membership.is_listed
     return starting
 
 
@@ -267,7 +267,7 @@
     while not isinstance(actions[-1], flows.ReadRecords):
         actions.append(flow.send(world.store.apply(actions[-1])))
     kinds = [type(action) for action in actions]
-    assert kinds == [flows.ReadKey, proposal.Swap, flows.ReadRecords]
+    assert kinds == [flows.ReadKey, proposal.CompareAndSwap, flows.ReadRecords]
 
 
 def test_older_daemon_that_cannot_read_the_text_refuses_for_all():
--- a/packages/decisions/tests/rollout/test_rollout.py
+++ b/packages/decisions/tests/rollout/test_rollout.py
@@ -15,9 +15,9 @@
 from anvilwell_kernel.messages import orders as messages
 
 ACTIVATE = messages.Kind.ACTIVATE
-DONE = swap.Outcome.DONE
-FAILED = swap.Outcome.FAILED
-UNKNOWN = swap.Outcome.UNKNOWN
+DONE = swap.CallOutcome.DONE
+FAILED = swap.CallOutcome.FAILED
+UNKNOWN = swap.CallOutcome.UNKNOWN
 REPLICAS = 5
 FLOOR = 0.6
 SELDOM = st.sampled_from([False, False, False, True])
@@ -38,7 +38,7 @@
         self.running = None
         self.late = None
         self.starts = 0
-        self.start(-swap.UNSURE_S, 0)
+        self.start(-swap.CONFIRM_TIMEOUT_S, 0)
 
     def start(self, now, highest):
         """Start the agent; its engine goes on with what it was at."""
@@ -182,7 +182,7 @@
 
     @stateful.rule(who=st.integers(0, 4))
     def miss(self, who):
-        self.leaders[-1].missed(f"vm{who}")
+        self.leaders[-1].mark_unreachable(f"vm{who}")
 
     @stateful.rule(
         who=st.integers(0, 4),
@@ -336,7 +336,7 @@
 def test_loads_slow_down_after_failures_and_recover():
     share = grants.LoadGrants(loads_per_s=8.0)
     for _ in range(3):
-        share.failed()
+        share.slow_down()
     assert _granted(share, 0.0, 2.0) <= 4
     assert _granted(share, 100.0, 2.0) >= 14
 
