--- a/packages/decisions/anvilwell_decisions/rollout/__init__.py
+++ b/packages/decisions/anvilwell_decisions/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Weight rollout: what the leader orders and what an agent does."""
+"""Rollout of model weights: the decisions of the leader and the agents."""
--- a/packages/decisions/anvilwell_decisions/rollout/grants.py
+++ b/packages/decisions/anvilwell_decisions/rollout/grants.py
@@ -1,23 +1,29 @@
-"""Fair shares of the rate-limited weight store."""
+"""Limits how fast engines start to load weights from the weight store."""
 
+# Default limit on the loads that are started for one service.
 LOADS_PER_S = 20.0
+# The rate never falls below this, however many loads fail.
 MIN_LOADS_PER_S = 0.5
+# A domain's bucket holds the tokens of this time, but at least one token.
 BURST_S = 1.0
+# The rate is multiplied by this after each failed load.
 SLOWDOWN_FACTOR = 0.5
+# Share of the limit by which the rate recovers in each second.
 RECOVERY_PER_S = 0.05
 
 
 class LoadGrants:
-    """One token bucket for each failure domain with work.
+    """Token buckets for loads, one for each failure domain that needs any.
 
-    The total rate is split evenly over the domains that want loads now.
-    It halves when engines fail to load and recovers slowly, since the
-    store's limit is not known.
+    The total rate is split evenly over the domains that need loads now. The
+    rate limit of the weight store is unknown, so the total rate halves after
+    each failed load and then recovers slowly.
 
     Parameters
     ----------
     loads_per_s : float
-        Most loads started a second for this service, all domains.
+        Maximum rate at which loads are started for this service, summed
+        over all domains.
     """
 
     def __init__(self, loads_per_s=LOADS_PER_S):
@@ -27,7 +33,10 @@
         self._filled_at = None
 
     def fill(self, domains, now):
-        """Give tokens for the time since the last call to `domains`."""
+        """Add the tokens of the time since the last call, for `domains`.
+
+        The buckets of all other domains are dropped.
+        """
         elapsed = 0.0 if self._filled_at is None else now - self._filled_at
         self._filled_at = now
         recovered = self._limit * RECOVERY_PER_S * elapsed
@@ -41,7 +50,13 @@
         }
 
     def take(self, domain):
-        """Take one token of `domain`; return whether there was one."""
+        """Take a token from the bucket of `domain`, if one is left.
+
+        Returns
+        -------
+        bool
+            Whether a token was taken.
+        """
         tokens = self._tokens_by_domain.get(domain, 0.0)
         if tokens < 1.0:
             return False
@@ -49,5 +64,5 @@
         return True
 
     def slow_down(self):
-        """Slow down after a failed load."""
+        """Reduce the rate after a failed load."""
         self._rate = max(self._rate * SLOWDOWN_FACTOR, MIN_LOADS_PER_S)
--- a/packages/decisions/anvilwell_decisions/rollout/reconciler.py
+++ b/packages/decisions/anvilwell_decisions/rollout/reconciler.py
@@ -1,4 +1,4 @@
-"""The leader's level-triggered reconciliation of one service."""
+"""Decides which orders the leader of a service sends to its agents."""
 
 import itertools
 import math
@@ -8,14 +8,22 @@
 from anvilwell_decisions.rollout import replicas
 from anvilwell_kernel.messages import orders as messages
 
+# Time between status requests to a replica if the rollout is settled or only
+# a new order can change the replica's state, and in all other cases.
 STATUS_PERIOD_S = 600.0
 UNSETTLED_STATUS_PERIOD_S = 1.0
+# A status request without response is repeated only after this time.
 STATUS_TIMEOUT_S = 20.0
+# Keeps a product such as 100 * 0.55, which a rounding error lifts above
+# 55, from being rounded up to the next replica.
 _ROUNDING = 1e-9
 
 
 class Desired(typing.NamedTuple):
-    """What the document in force wants."""
+    """The target state that the document in force describes.
+
+    ``live_floor`` is the share of replicas that must stay in service.
+    """
 
     version: str
     generation: int
@@ -23,9 +31,10 @@
 
 
 class Progress(typing.NamedTuple):
-    """How far the rollout is; counts of replicas.
+    """The progress of a rollout, as numbers of replicas.
 
-    ``is_blocked`` says that the floor leaves no replica to swap.
+    ``is_blocked`` is true if no replica may be taken out of service to swap,
+    because the number in service would fall below the floor.
     """
 
     total: int
@@ -38,13 +47,13 @@
 
 
 class Reconciler:
-    """Compares what is wanted with what agents report, and orders.
+    """Compares the desired state with the agents' reports and issues orders.
 
-    It keeps no plan: at each tick it looks at the newest reports, so a
-    new leader, a lost order or an engine that fell back needs no case
-    of its own. Nothing counts as in service before its agent reported
-    under this leader's own fencing number; from then on the agent
-    refuses orders of earlier leaders.
+    It keeps no plan: each tick starts from the latest reports. So a change
+    of leader, a lost order or an engine that returned to an earlier version
+    needs no special handling. A replica counts as in service only once its
+    agent has reported under this leader's fencing number, since from then on
+    the agent rejects the orders of earlier leaders.
 
     Parameters
     ----------
@@ -52,6 +61,8 @@
         The service's name.
     fencing : int
         The leader's fencing number.
+    load_grants : grants.LoadGrants, optional
+        Limits the rate of loads; by default it has the default rate.
     """
 
     def __init__(self, service, fencing, load_grants=None):
@@ -66,15 +77,18 @@
         self._version_ahead = None
 
     def desire(self, desired):
-        """Take what the document wants from now on."""
+        """Set the target state."""
         self._desired = desired
 
     def load_ahead(self, version):
-        """Have `version` loaded before any document wants it."""
+        """Load `version` on all replicas before a document requires it."""
         self._version_ahead = version
 
     def set_members(self, domains_by_id):
-        """Take the replicas that there are, with their domains."""
+        """Set the replicas of the service, given as failure domains by VM.
+
+        Replicas that were members before keep their state.
+        """
         known = self._replicas_by_id
         self._replicas_by_id = {
             vm_id: known.get(vm_id) or replicas.Replica(vm_id, domain)
@@ -82,7 +96,11 @@
         }
 
     def report(self, report):
-        """Take an agent's report."""
+        """Process an agent's report.
+
+        A replica that has started to back off had a failed order, which
+        reduces the rate of loads.
+        """
         replica = self._replicas_by_id.get(report.vm_id)
         if replica is None:
             return
@@ -93,13 +111,13 @@
             self._grants.slow_down()
 
     def mark_unreachable(self, vm_id):
-        """Note that an agent gave no answer."""
+        """Record that an agent did not respond."""
         self._unanswered.discard(vm_id)
         if vm_id in self._replicas_by_id:
             self._replicas_by_id[vm_id].mark_unreachable()
 
     def tick(self, now):
-        """Return the `messages.Order` to send now, as orders_by_id."""
+        """Return the orders to send now, as `messages.Order` by VM."""
         orders_by_id = self._status_orders(now)
         if self._desired:
             orders_by_id.update(self._load_orders(now))
@@ -108,13 +126,13 @@
 
     @property
     def is_settled(self):
-        """Whether every replica has the version or gave it up."""
+        """Whether every replica runs the version or has abandoned it."""
         return self._desired is not None and all(
             self._is_done(replica) for replica in self._replicas_by_id.values()
         )
 
     def progress(self):
-        """Return the `Progress`."""
+        """Return the `Progress` towards the target state."""
         found = self._replicas_by_id.values()
         version, generation, _ = self._desired or Desired("", 0, 0.0)
         return Progress(
@@ -157,7 +175,7 @@
         return now - sent_at >= period_s
 
     def _is_idle(self, replica):
-        """Return whether nothing can change without an order of ours."""
+        """Return whether only a new order can change the replica's state."""
         return (
             replica.report is not None
             and replica.order is None
@@ -216,7 +234,10 @@
         }
 
     def _swappable_count(self, total):
-        """Return how many replicas may leave service now."""
+        """Return how many replicas may be taken out of service now.
+
+        The result is negative if too few replicas are in service already.
+        """
         floor = self._desired.live_floor if self._desired else 1.0
         in_service = sum(
             r.is_in_service for r in self._replicas_by_id.values()
--- a/packages/decisions/anvilwell_decisions/rollout/replicas.py
+++ b/packages/decisions/anvilwell_decisions/rollout/replicas.py
@@ -1,17 +1,19 @@
-"""What a leader knows of one replica."""
+"""The state of one replica as its leader sees it."""
 
 from anvilwell_kernel.messages import orders as messages
 
+# No further order is sent for this time after one, unless a report shows
+# earlier that it is over.
 ORDER_TIMEOUT_S = 3.0
 
 
 class Replica:
-    """The last report of one replica and the order it may be carrying out.
+    """The last report of a replica and the order that it may be executing.
 
-    An order counts as under way until a report made after it was
-    admitted, until a later order replaced it or until the engine has
-    its version anyway; never because time passed, since it may still
-    arrive.
+    An order counts as pending until its agent reports that it accepted this
+    order or a later one, until the engine reports the order's version, or
+    until a later order replaces it. It never expires by time, since a
+    delayed order may still arrive.
     """
 
     def __init__(self, vm_id, failure_domain):
@@ -23,7 +25,13 @@
         self._sequence = 0
 
     def accept(self, report, fencing):
-        """Take `report` if it was made under our `fencing`."""
+        """Store `report` if it is new and was made under `fencing`.
+
+        Returns
+        -------
+        bool
+            Whether the report was stored.
+        """
         if report.fencing != fencing or report.sequence <= self._sequence:
             return False
         self._sequence = report.sequence
@@ -33,16 +41,16 @@
         return True
 
     def mark_unreachable(self):
-        """Note that it gave no answer."""
+        """Drop the last report, since the agent did not respond."""
         self.report = None
 
     def record_order(self, order, now):
-        """Note `order`, sent at `now`."""
+        """Record that `order` was sent at `now`."""
         self.order = order
         self._ordered_at = now
 
     def is_free(self, now):
-        """Return whether it can be given an order now."""
+        """Return whether the replica can execute an order now."""
         if self.report is None:
             return False
         if self.order and now - self._ordered_at < ORDER_TIMEOUT_S:
@@ -51,13 +59,13 @@
 
     @property
     def is_waiting(self):
-        """Whether it backs off after a failed order."""
+        """Whether the agent waits before a retry, after a failed order."""
         waiting = messages.Activity.WAITING
         return self.report is not None and self.report.activity is waiting
 
     @property
     def is_in_service(self):
-        """Whether it certainly serves some known version now."""
+        """Whether the replica certainly serves a version that is known."""
         if self.report is None or not self.report.version:
             return False
         if self.order and self.order.kind is messages.Kind.ACTIVATE:
@@ -71,16 +79,16 @@
         )
 
     def has_version(self, version):
-        """Return whether its engine runs `version`."""
+        """Return whether the engine runs `version`."""
         return self.report is not None and self.report.version == version
 
     def has_loaded(self, version):
-        """Return whether its engine holds `version`."""
+        """Return whether the engine has loaded `version`."""
         return self.report is not None and (
             version in self.report.loaded or version == self.report.version
         )
 
     def has_failed(self, version, generation):
-        """Return whether it gave `version` up under `generation`."""
+        """Return whether the agent abandoned `version` under `generation`."""
         failed = messages.Failed(version, generation)
         return self.report is not None and failed in self.report.failed
--- a/packages/decisions/anvilwell_decisions/rollout/swap.py
+++ b/packages/decisions/anvilwell_decisions/rollout/swap.py
@@ -1,4 +1,4 @@
-"""An agent's side: one engine, one order at a time, the truth reported."""
+"""Decides how an agent executes the leader's orders on its engine."""
 
 import enum
 import typing
@@ -6,10 +6,16 @@
 from anvilwell_decisions.leases import fencing
 from anvilwell_kernel.messages import orders as messages
 
+# Failed attempts after which a version is abandoned under its generation.
 ATTEMPTS = 3
+# The wait after a failed attempt doubles from the first value up to the last,
+# before jitter.
 FIRST_BACKOFF_S = 0.5
 LAST_BACKOFF_S = 8.0
+# Abandoned versions that are kept and reported; the oldest are dropped.
 MAX_FAILED = 16
+# An engine may still complete an activation this long after its response was
+# lost or its agent restarted.
 CONFIRM_TIMEOUT_S = 10.0
 _ACTIVATE = messages.Kind.ACTIVATE
 
@@ -20,7 +26,7 @@
 
 
 class CallOutcome(enum.Enum):
-    """What came of an engine call."""
+    """The outcome of a call to the engine."""
 
     DONE = "done"
     FAILED = "failed"
@@ -28,30 +34,33 @@
 
 
 class Execute(typing.NamedTuple):
-    """Give `order` to the engine, then read its version."""
+    """Action: send `order` to the engine, then read the engine's version."""
 
     order: messages.Order
 
 
 class Swap:
-    """Decides for one engine; times are monotonic seconds.
+    """Executes orders on one engine, one at a time.
 
-    The version reported is the one last read from the engine, never the
-    one wanted. A version whose attempts failed is given up under that
-    document's generation; applying the document again retries it.
+    Times are in seconds of the monotonic clock. The version in reports is
+    always the one last read from the engine, never the target version. A
+    version whose attempts failed is abandoned under the generation of the
+    document that requires it; applying the document again retries it.
 
-    An engine whose answer was lost, or whose agent has just started,
-    may still be about to swap: for `confirm_timeout_s` seconds it takes no
-    order and counts as swapping.
+    An engine whose response to an activation was lost, or whose agent has
+    just started, may still be about to swap. For `confirm_timeout_s` seconds
+    it gets no order and is reported as activating.
 
     Parameters
     ----------
     vm_id : str
-        The agent's.
+        The agent's VM.
     rng : random.Random
-        Source of jitter.
+        Source of the jitter of the backoff.
     now : float
-        When the agent started.
+        Time at which the agent started.
+    confirm_timeout_s : float
+        See above.
     """
 
     def __init__(self, vm_id, rng, now, confirm_timeout_s=CONFIRM_TIMEOUT_S):
@@ -71,7 +80,14 @@
         self._sequence = 0
 
     def order(self, order, now):
-        """Take an order; return the actions.
+        """Accept an order of a leader.
+
+        Status orders, duplicates, orders that were overtaken by a later one
+        and orders that arrive while the engine is busy need no action.
+
+        Returns
+        -------
+        list of Execute
 
         Raises
         ------
@@ -93,10 +109,11 @@
         return [Execute(order)]
 
     def executed(self, outcome, now):
-        """Take what came of the running order, after the version read.
+        """Process the outcome of the running order.
 
-        An activation counts as done if and only if the engine says that
-        it runs the version, whatever its answer to the order was.
+        The engine's version must have been passed to `read` before. An
+        activation counts as done if and only if the engine reports that it
+        runs the version, whatever its response to the order was.
         """
         order, self._running = self._running, None
         if self._is_done(order, outcome):
@@ -108,7 +125,7 @@
             self._fail(order, now)
 
     def read(self, version, now):
-        """Take the version read from the engine, "" if none was."""
+        """Process the version read from the engine, "" if the read failed."""
         if version:
             self._loaded.add(version)
         self._version = version
@@ -124,12 +141,15 @@
             self._fail(order, now)
 
     def report(self, now, wall_ms):
-        """Return the `messages.Report`.
+        """Return the `messages.Report` of the current state.
 
         Parameters
         ----------
+        now : float
+            Monotonic time, s.
         wall_ms : int
-            Wall clock; orders the reports of two starts of the agent.
+            Wall-clock time. It keeps the sequence numbers of reports
+            increasing across restarts of the agent.
         """
         self._sequence = max(self._sequence + 1, wall_ms)
         fencing, number = self._last
@@ -145,11 +165,14 @@
         )
 
     def refusal(self):
-        """Return the `messages.Refusal` that tells of the door."""
+        """Build the `messages.Refusal` for an order that the gate rejected."""
         return messages.Refusal(self._vm_id, self.gate.highest or 0)
 
     def _is_no_op(self, order):
-        """Return whether `order` has nothing to do or cannot work."""
+        """Return whether `order` is done already or can't succeed.
+
+        An activation can't succeed before its version is loaded.
+        """
         if order.kind is messages.Kind.LOAD:
             return order.version in self._loaded
         is_loaded = order.version in self._loaded
@@ -198,9 +221,10 @@
 
 
 def _attempt(order):
-    """Return what failures are counted by.
+    """Return the key under which failures of `order` are counted.
 
-    A load that works says nothing about the activation that failed.
+    Loads and activations of a version are counted separately, so that a
+    successful load does not reset the count of failed activations.
     """
     return _Attempt(order.kind, _target(order))
 
--- a/packages/decisions/tests/rollout/test_rollout.py
+++ b/packages/decisions/tests/rollout/test_rollout.py
@@ -1,4 +1,4 @@
-"""Leader and agents over a network and engines that fail."""
+"""Tests the leader and its agents on an unreliable network and engines."""
 
 import math
 import random
@@ -20,17 +20,21 @@
 UNKNOWN = swap.CallOutcome.UNKNOWN
 REPLICAS = 5
 FLOOR = 0.6
-SELDOM = st.sampled_from([False, False, False, True])
-FATES = st.lists(
+RARELY = st.sampled_from([False, False, False, True])
+DELIVERIES = st.lists(
     st.sampled_from(["now", "now", "late", "twice", "lost"]),
     min_size=REPLICAS,
     max_size=REPLICAS,
 )
-MAY_SWAP = REPLICAS - math.ceil(REPLICAS * FLOOR)
+MAX_SWAPPING = REPLICAS - math.ceil(REPLICAS * FLOOR)
 
 
 class Agent:
-    """A swap decision and the engine that it works on."""
+    """An agent's `swap.Swap` with a simulated engine.
+
+    ``running`` is the order that the engine executes. ``late`` is an order
+    whose response was lost and that may still take effect.
+    """
 
     def __init__(self, vm_id):
         self.vm_id = vm_id
@@ -41,7 +45,7 @@
         self.start(-swap.CONFIRM_TIMEOUT_S, 0)
 
     def start(self, now, highest):
-        """Start the agent; its engine goes on with what it was at."""
+        """Restart the agent while the engine continues its order."""
         self.starts += 1
         self.swap = swap.Swap(self.vm_id, random.Random(0), now)
         self.swap.gate.raise_to(highest)
@@ -79,7 +83,11 @@
 
 
 class RolloutMachine(stateful.RuleBasedStateMachine):
-    """Loss, duplication, reordering, take-overs, restarts, failures."""
+    """Runs a rollout under faults and checks the floor after each step.
+
+    Orders and reports are lost, repeated and reordered, leaders are replaced,
+    agents restart and engines fail.
+    """
 
     def __init__(self):
         super().__init__()
@@ -105,7 +113,7 @@
 
     @stateful.rule(first=st.integers(0, REPLICAS - 1))
     def reorder(self, first):
-        """Let the newest leader prefer other replicas from now on."""
+        """Change the order in which the newest leader picks replicas."""
         ids = [f"vm{(n + first) % REPLICAS}" for n in range(REPLICAS)]
         self.leaders[-1].set_members({v: f"d{v[-1]}" for v in ids})
 
@@ -122,32 +130,32 @@
                 agent.finish_late(seconds > 0.5, self.now)
         self.now += seconds
 
-    @stateful.rule(is_old=SELDOM, fates=FATES)
-    def tick(self, is_old, fates):
-        """Let a leader order; its orders arrive now, late or never."""
+    @stateful.rule(is_old=RARELY, deliveries=DELIVERIES)
+    def tick(self, is_old, deliveries):
+        """Tick a leader and deliver its orders now, late, twice or never."""
         leader = self.leaders[0 if is_old else -1]
         sent = leader.tick(self.now).items()
-        for (vm_id, order), fate in zip(sent, fates, strict=False):
-            if fate != "lost":
+        for (vm_id, order), delivery in zip(sent, deliveries, strict=False):
+            if delivery != "lost":
                 self.orders.append((vm_id, order))
-            if fate in ("now", "twice"):
-                self.pass_on(vm_id, order)
-                if fate == "now":
+            if delivery in ("now", "twice"):
+                self.deliver_order(vm_id, order)
+                if delivery == "now":
                     self.orders.remove((vm_id, order))
 
-    @stateful.rule(fates=FATES, first=st.integers(0, REPLICAS - 1))
-    def work(self, fates, first):
-        """Let time pass, ask all how they are, and order."""
+    @stateful.rule(deliveries=DELIVERIES, first=st.integers(0, REPLICAS - 1))
+    def work(self, deliveries, first):
+        """Run two ticks and have all agents report in between."""
         self.reorder(first)
         self.now += 0.6
         self.tick(False, ["now"] * REPLICAS)
-        self.ask_all()
+        self.report_all()
         self.now += 0.6
-        self.tick(False, fates)
+        self.tick(False, deliveries)
 
     @stateful.rule(first=st.integers(0, REPLICAS - 1))
     def replace_leader(self, first):
-        """A new leader takes over while orders are on the way."""
+        """Replace the leader while its orders are in transit."""
         self.take_over()
         self.work(["now"] * REPLICAS, first)
 
@@ -155,17 +163,17 @@
     def deliver_late_order(self, data):
         if self.orders:
             index = data.draw(st.integers(0, len(self.orders) - 1))
-            self.pass_on(*self.orders.pop(index))
+            self.deliver_order(*self.orders.pop(index))
 
     @stateful.rule()
-    def ask_all(self):
-        """Let every agent report, and deliver it at once."""
+    def report_all(self):
+        """Have every agent report and deliver the reports immediately."""
         for agent in self.agents_by_id.values():
             self.reports.append(agent.report(self.now))
             for leader in self.leaders:
                 leader.report(self.reports[-1])
 
-    def pass_on(self, vm_id, order):
+    def deliver_order(self, vm_id, order):
         agent = self.agents_by_id[vm_id]
         try:
             agent.take(order, self.now)
@@ -181,27 +189,27 @@
                 leader.report(self.reports[index])
 
     @stateful.rule(who=st.integers(0, 4))
-    def miss(self, who):
+    def lose_response(self, who):
         self.leaders[-1].mark_unreachable(f"vm{who}")
 
     @stateful.rule(
         who=st.integers(0, 4),
         outcome=st.sampled_from([DONE, DONE, FAILED, UNKNOWN]),
     )
-    def engine_ends(self, who, outcome):
+    def finish_order(self, who, outcome):
         agent = self.agents_by_id[f"vm{who}"]
         if agent.running:
             agent.finish(outcome, self.now)
 
     @stateful.rule(who=st.integers(0, 4))
-    def agent_restarts(self, who):
+    def restart_agent(self, who):
         agent = self.agents_by_id[f"vm{who}"]
         agent.start(self.now, self.fencing - 1)
 
     @stateful.invariant()
     def floor_is_kept(self):
         swapping = sum(a.is_swapping for a in self.agents_by_id.values())
-        assert swapping <= MAY_SWAP
+        assert swapping <= MAX_SWAPPING
 
     @stateful.invariant()
     def no_version_is_misreported(self):
@@ -210,7 +218,7 @@
             assert report.version in ("", agent.engine_version)
 
     def teardown(self):
-        """In the end everything works again and the rollout gets there."""
+        """Stop all faults and check that the rollout completes."""
         self.orders.clear()
         self.take_over()
         for _ in range(400):
@@ -222,7 +230,7 @@
                     agent.finish(DONE, self.now)
                 agent.swap.read(agent.engine_version, self.now)
             self.tick(False, ["now"] * REPLICAS)
-            self.ask_all()
+            self.report_all()
             self.floor_is_kept()
             if self.leaders[-1].is_settled:
                 break
@@ -238,7 +246,7 @@
 TestRollout.pytestmark = [pytest.mark.fuzz, pytest.mark.timeout(3600)]
 
 
-def lead(count, floor, **options):
+def make_leader(count, floor, **options):
     agents = {f"vm{n}": Agent(f"vm{n}") for n in range(count)}
     leader = reconciler.Reconciler("lm", 1, **options)
     leader.set_members(dict.fromkeys(agents, "d"))
@@ -246,7 +254,7 @@
     return leader, agents
 
 
-def play(leader, agents, seconds, outcomes_by_id=None):
+def run_rollout(leader, agents, seconds, outcomes_by_id=None):
     now, starts = 0.0, []
     while now < seconds:
         for vm_id, agent in agents.items():
@@ -262,16 +270,16 @@
     return starts
 
 
-def test_failing_engine_is_given_up_and_reported_at_its_old_version():
-    leader, agents = lead(3, 0.3)
-    play(leader, agents, 30.0, {"vm1": FAILED})
+def test_failing_engine_is_abandoned_and_reports_its_old_version():
+    leader, agents = make_leader(3, 0.3)
+    run_rollout(leader, agents, 30.0, {"vm1": FAILED})
     assert leader.progress().failed == 1
     assert leader.progress().at_version == 2
     assert agents["vm1"].report(30.0).version == "1"
     assert leader.is_settled
 
 
-def test_engine_that_loads_but_never_swaps_is_given_up():
+def test_version_that_loads_but_never_activates_is_abandoned():
     agent = Agent("vm0")
     for number in range(1, 20, 2):
         now = number * 20.0
@@ -284,31 +292,31 @@
     assert agent.report(500.0).failed == [messages.Failed("2", 1)]
 
 
-def test_given_up_version_is_tried_again_under_a_new_generation():
-    leader, agents = lead(3, 0.3)
-    play(leader, agents, 30.0, {"vm1": FAILED})
+def test_abandoned_version_is_retried_under_a_new_generation():
+    leader, agents = make_leader(3, 0.3)
+    run_rollout(leader, agents, 30.0, {"vm1": FAILED})
     leader.desire(reconciler.Desired("2", 2, 0.3))
-    play(leader, agents, 30.0)
+    run_rollout(leader, agents, 30.0)
     assert leader.progress().at_version == 3
 
 
-def test_version_rolls_back_only_as_the_document_says():
-    leader, agents = lead(4, 0.5)
-    play(leader, agents, 20.0)
+def test_rollback_follows_the_document():
+    leader, agents = make_leader(4, 0.5)
+    run_rollout(leader, agents, 20.0)
     leader.desire(reconciler.Desired("1", 2, 0.5))
-    play(leader, agents, 20.0)
+    run_rollout(leader, agents, 20.0)
     assert {a.engine_version for a in agents.values()} == {"1"}
 
 
-def test_floor_that_leaves_nothing_to_swap_is_told_and_kept():
-    leader, agents = lead(1, 0.5)
-    play(leader, agents, 10.0)
+def test_floor_that_permits_no_swap_is_kept_and_reported():
+    leader, agents = make_leader(1, 0.5)
+    run_rollout(leader, agents, 10.0)
     assert leader.progress().is_blocked
     assert agents["vm0"].engine_version == "1"
 
 
 def test_unreachable_replicas_count_as_out_of_service():
-    leader, agents = lead(4, 0.5)
+    leader, agents = make_leader(4, 0.5)
     down = {"vm0", "vm1"}
     reachable = {v: a for v, a in agents.items() if v not in down}
     for vm_id, order in leader.tick(0.0).items():
@@ -321,7 +329,7 @@
             assert order.kind is not ACTIVATE
 
 
-def test_loads_are_granted_at_the_stores_rate_and_evenly():
+def test_loads_are_limited_to_the_rate_and_split_evenly():
     share = grants.LoadGrants(loads_per_s=4.0)
     taken = {"a": 0, "b": 0}
     for step in range(101):
@@ -342,20 +350,20 @@
 
 
 def test_version_is_loaded_ahead_and_then_only_activated():
-    leader, agents = lead(4, 0.5)
-    play(leader, agents, 20.0)
+    leader, agents = make_leader(4, 0.5)
+    run_rollout(leader, agents, 20.0)
     leader.load_ahead("3")
-    ahead = play(leader, agents, 20.0)
+    ahead = run_rollout(leader, agents, 20.0)
     assert {kind for _, _, kind in ahead} == {messages.Kind.LOAD}
     assert len(ahead) == 4
     leader.desire(reconciler.Desired("3", 2, 0.5))
-    starts = play(leader, agents, 20.0)
+    starts = run_rollout(leader, agents, 20.0)
     assert {kind for _, _, kind in starts} == {ACTIVATE}
 
 
-def test_status_is_rarely_asked_once_settled():
-    leader, agents = lead(4, 0.5)
-    play(leader, agents, 20.0)
+def test_status_is_rarely_requested_once_settled():
+    leader, agents = make_leader(4, 0.5)
+    run_rollout(leader, agents, 20.0)
     asked = sum(len(leader.tick(20.0 + second)) for second in range(60))
     assert asked <= 2 * len(agents)
 
@@ -377,7 +385,7 @@
     assert agent.running is None
 
 
-def test_activation_whose_answer_was_lost_is_read_back():
+def test_activation_with_lost_response_is_confirmed_by_reading():
     agent = Agent("vm0")
     agent.take(_order(messages.Kind.LOAD, "2", 1), 0.0)
     agent.finish(DONE, 0.0)
@@ -391,10 +399,10 @@
     assert report.failed == []
 
 
-def test_old_report_does_not_bring_a_swapping_replica_into_service():
-    leader, agents = lead(1, 0.0)
+def test_old_report_does_not_return_a_swapping_replica_to_service():
+    leader, agents = make_leader(1, 0.0)
     agent = agents["vm0"]
-    play(leader, agents, 5.0)
+    run_rollout(leader, agents, 5.0)
     leader.desire(reconciler.Desired("3", 2, 0.0))
     before = agent.report(1.0)
     leader.report(before)
@@ -407,8 +415,8 @@
     assert leader.progress().in_service == 0
 
 
-def test_report_made_under_another_leader_proves_nothing():
-    leader, agents = lead(1, 0.0)
+def test_report_under_another_leader_does_not_count_as_in_service():
+    leader, agents = make_leader(1, 0.0)
     agent = agents["vm0"]
     agent.take(_order(messages.Kind.STATUS, "", 0, fencing=0), 0.0)
     leader.report(agent.report(0.0))
@@ -418,7 +426,7 @@
     assert leader.progress().in_service == 1
 
 
-def test_order_of_an_earlier_leader_is_refused():
+def test_order_of_an_earlier_leader_is_rejected():
     agent = Agent("vm0")
     agent.take(_order(messages.Kind.STATUS, "", 0, fencing=2), 0.0)
     with pytest.raises(exceptions.Fenced):
