--- a/packages/outside/anvilwell_outside/adapters/etcd.py
+++ b/packages/outside/anvilwell_outside/adapters/etcd.py
@@ -2,13 +2,13 @@
 
 from anvilwell_kernel import exceptions
 
-from anvilwell_outside.adapters import answers
 from anvilwell_outside.adapters import etcd_watch
 from anvilwell_outside.adapters import etcd_wire
 from anvilwell_outside.adapters import http_adapter
 from anvilwell_outside.adapters import http_client
 from anvilwell_outside.adapters import json_bodies
 from anvilwell_outside.adapters import meter as meters
+from anvilwell_outside.adapters import responses
 from anvilwell_outside.ports import keyvalue
 
 _READ = "read"
@@ -38,48 +38,48 @@
     def get(self, key, *, purpose, timeout_s):
         """Return the `Entry` of `key`, or None."""
         body = {"key": etcd_wire.encode_key(key)}
-        answer = self._range(body, purpose, timeout_s)
-        return next(map(etcd_wire.entry, answer.get("kvs", [])), None)
+        response = self._range(body, purpose, timeout_s)
+        return next(map(etcd_wire.entry, response.get("kvs", [])), None)
 
     def get_prefix(self, prefix, *, purpose, timeout_s):
         """Return the `Snapshot` of all keys with `prefix`."""
         body = etcd_wire.prefix_range(prefix)
-        answer = self._range(body, purpose, timeout_s)
-        entries = map(etcd_wire.entry, answer.get("kvs", []))
+        response = self._range(body, purpose, timeout_s)
+        entries = map(etcd_wire.entry, response.get("kvs", []))
         return keyvalue.Snapshot(
             {entry.key: entry for entry in entries},
-            answer["header"].get("revision", 0),
+            response["header"].get("revision", 0),
         )
 
     def swap(self, swaps, *, purpose, timeout_s):
         """Apply all `swaps` or none if a `Guard` or swap fails."""
         body = etcd_wire.swap_txn(swaps)
-        answer = self._call(
+        response = self._call(
             "kv/txn", body, etcd_wire.TXN, purpose, _WRITE, timeout_s
         )
-        landed = answer.get("succeeded", False)
+        landed = response.get("succeeded", False)
         kvs = [
             kv
-            for response in answer.get("responses", [])
-            for kv in response.get("response_range", {}).get("kvs", [])
+            for operation in response.get("responses", [])
+            for kv in operation.get("response_range", {}).get("kvs", [])
         ]
         return keyvalue.SwapResult(
             landed,
-            answer["header"].get("revision", 0),
+            response["header"].get("revision", 0),
             {entry.key: entry for entry in map(etcd_wire.entry, kvs)},
         )
 
     def grant(self, ttl_s, *, purpose, timeout_s):
         """Return the id of a new lease of `ttl_s` seconds."""
         body = {"TTL": str(ttl_s)}
-        answer = self._call(
+        response = self._call(
             "lease/grant", body, etcd_wire.LEASE, purpose, _WRITE, timeout_s
         )
-        return answer["ID"]
+        return response["ID"]
 
     def keep_alive(self, lease, *, purpose, timeout_s):
         """Renew `lease`; return seconds granted, 0 if it has lapsed."""
-        answer = self._call(
+        response = self._call(
             "lease/keepalive",
             {"ID": str(lease)},
             etcd_wire.KEEP_ALIVE,
@@ -87,7 +87,7 @@
             _WRITE,
             timeout_s,
         )
-        return answer["result"].get("TTL", 0)
+        return response["result"].get("TTL", 0)
 
     def revoke(self, lease, *, purpose, timeout_s):
         """End `lease` and delete its keys; harmless if it has lapsed."""
@@ -126,12 +126,12 @@
             raise exceptions.KeyValueUnavailable(
                 f"watch answered {response.status}"
             )
-        self.meter.watching(purpose, 1)
+        self.meter.count_waiting(purpose, 1)
         return etcd_watch.EtcdWatch(
             response,
             self._client,
             timeout_s,
-            lambda: self.meter.watching(purpose, -1),
+            lambda: self.meter.count_waiting(purpose, -1),
         )
 
     def _range(self, body, purpose, timeout_s):
@@ -142,15 +142,15 @@
     def _call(self, path, body, adapter, purpose, kind, timeout_s):
         self.meter.count(purpose, kind)
         try:
-            answer = self._client.call(
+            response = self._client.call(
                 "POST",
                 f"/v3/{path}",
                 body=json_bodies.encode(body),
                 headers=json_bodies.CONTENT_TYPE,
                 timeout_s=timeout_s,
             )
-            answers.check_status(answer, path)
-            return json_bodies.decode(adapter, answer.body, path)
+            responses.check_status(response, path)
+            return json_bodies.decode(adapter, response.body, path)
         except (exceptions.BadRequest, exceptions.NotFound):
             raise
         except exceptions.AnvilwellError as error:
--- a/packages/outside/anvilwell_outside/adapters/etcd_watch.py
+++ b/packages/outside/anvilwell_outside/adapters/etcd_watch.py
@@ -23,7 +23,7 @@
     Parameters
     ----------
     response : urllib3.HTTPResponse
-        The streamed answer.
+        The streamed message.
     client : http_client.HttpClient
         Turns urllib3's errors into ours.
     timeout_s : float
@@ -68,7 +68,7 @@
 
     def _read(self):
         try:
-            yield from self._until_idle()
+            yield from self._read_until_idle()
         except exceptions.AnvilwellError:
             if not self._closed.is_set():
                 raise
@@ -76,7 +76,7 @@
             self.close()
             self._response.close()
 
-    def _until_idle(self):
+    def _read_until_idle(self):
         idle_at = time.monotonic() + self._timeout_s
         for line in self._lines():
             changes = self._parse(line)
@@ -87,8 +87,8 @@
                 return
 
     def _parse(self, line):
-        answer = json_bodies.decode(etcd_wire.WATCH, line, "watch")
-        result = answer["result"]
+        message = json_bodies.decode(etcd_wire.WATCH, line, "watch")
+        result = message["result"]
         if result.get("canceled"):
             raise Compacted(
                 "the watch's changes are no longer kept; read again from "
--- a/packages/outside/anvilwell_outside/adapters/etcd_wire.py
+++ b/packages/outside/anvilwell_outside/adapters/etcd_wire.py
@@ -29,38 +29,38 @@
     lease: int
 
 
-class RangeAnswer(typing_extensions.TypedDict, total=False):
+class RangeResponse(typing_extensions.TypedDict, total=False):
     """Answer to a range."""
 
     header: typing_extensions.Required[Header]
     kvs: list[KeyBody]
 
 
-class OperationAnswer(typing_extensions.TypedDict, total=False):
+class OperationResponse(typing_extensions.TypedDict, total=False):
     """Answer to one operation; only ranges carry data."""
 
-    response_range: RangeAnswer
+    response_range: RangeResponse
 
 
-class TxnAnswer(typing_extensions.TypedDict, total=False):
+class TxnResponse(typing_extensions.TypedDict, total=False):
     """Answer to a transaction."""
 
     header: typing_extensions.Required[Header]
     succeeded: bool
-    responses: list[OperationAnswer]
+    responses: list[OperationResponse]
 
 
-class LeaseAnswer(typing_extensions.TypedDict, total=False):
+class LeaseResponse(typing_extensions.TypedDict, total=False):
     """A lease's id and seconds; no seconds if it has lapsed."""
 
     ID: int
     TTL: int
 
 
-class KeepAliveAnswer(typing_extensions.TypedDict):
+class KeepAliveResponse(typing_extensions.TypedDict):
     """Answer to a renewal."""
 
-    result: LeaseAnswer
+    result: LeaseResponse
 
 
 class EventBody(typing_extensions.TypedDict, total=False):
@@ -79,17 +79,17 @@
     compact_revision: int
 
 
-class WatchAnswer(typing_extensions.TypedDict):
+class WatchResponse(typing_extensions.TypedDict):
     """One line of a watch."""
 
     result: WatchResult
 
 
-RANGE = pydantic.TypeAdapter(RangeAnswer)
-TXN = pydantic.TypeAdapter(TxnAnswer)
-LEASE = pydantic.TypeAdapter(LeaseAnswer)
-KEEP_ALIVE = pydantic.TypeAdapter(KeepAliveAnswer)
-WATCH = pydantic.TypeAdapter(WatchAnswer)
+RANGE = pydantic.TypeAdapter(RangeResponse)
+TXN = pydantic.TypeAdapter(TxnResponse)
+LEASE = pydantic.TypeAdapter(LeaseResponse)
+KEEP_ALIVE = pydantic.TypeAdapter(KeepAliveResponse)
+WATCH = pydantic.TypeAdapter(WatchResponse)
 
 
 def encode_bytes(data):
--- a/packages/outside/anvilwell_outside/adapters/http_client.py
+++ b/packages/outside/anvilwell_outside/adapters/http_client.py
@@ -7,8 +7,8 @@
 from anvilwell_kernel import verdict as verdicts
 import urllib3
 
-from anvilwell_outside.adapters import answers
-from anvilwell_outside.adapters import whole_heads
+from anvilwell_outside.adapters import responses
+from anvilwell_outside.adapters import strict_connection
 
 MAX_BODY_BYTES = 4 << 20
 CONNECTIONS = 64
@@ -65,7 +65,7 @@
         body=None,
         headers=None,
         timeout_s,
-        fresh=False,
+        use_new_connection=False,
     ):
         """Send a call and return urllib3's response, body unread.
 
@@ -89,10 +89,10 @@
         """
         first = self._preferred
         count = len(self._pools)
-        for place in range(first, first + count):
-            self._preferred = place % count
+        for index in range(first, first + count):
+            self._preferred = index % count
             pool = self._pools[self._preferred]
-            if fresh:
+            if use_new_connection:
                 pool = _pool(self.address, 1)
             try:
                 return _send(pool, method, path, body, headers, timeout_s)
@@ -117,7 +117,7 @@
             method, path, body=body, headers=headers, timeout_s=timeout_s
         )
         data = b"".join(self.chunks(response, deadline, MAX_BODY_BYTES))
-        return answers.Answer(response.status, response.headers, data)
+        return responses.HttpResponse(response.status, response.headers, data)
 
     def chunks(self, response, deadline, limit_bytes, *, is_delimited=False):
         """Yield the body as it arrives, then free the connection.
@@ -140,12 +140,12 @@
             ends with the connection, which looks the same as a cut.
         """
         has_end = response.chunked or response.length_remaining is not None
-        left = limit_bytes
+        bytes_left = limit_bytes
         whole = False
         try:
             while chunk := response.read1(_READ_BYTES):
-                left -= len(chunk)
-                self._check(left, limit_bytes, deadline)
+                bytes_left -= len(chunk)
+                self._check_limits(bytes_left, limit_bytes, deadline)
                 yield chunk
             if not has_end and not is_delimited:
                 raise exceptions.BackendFailed(
@@ -177,8 +177,8 @@
             reason=reasons.Refusal.ANSWER_CUT,
         )
 
-    def _check(self, left, limit_bytes, deadline):
-        if left < 0:
+    def _check_limits(self, bytes_left, limit_bytes, deadline):
+        if bytes_left < 0:
             raise exceptions.BackendFailed(
                 f"{self.address} sent more than {limit_bytes} bytes",
                 reason=reasons.Refusal.BODY_TOO_LARGE,
@@ -194,7 +194,7 @@
     pool = urllib3.HTTPConnectionPool(
         host, int(port), maxsize=connections, retries=False
     )
-    pool.ConnectionCls = whole_heads.Connection
+    pool.ConnectionCls = strict_connection.Connection
     return pool
 
 
--- a/packages/outside/anvilwell_outside/adapters/http_plain.py
+++ b/packages/outside/anvilwell_outside/adapters/http_plain.py
@@ -4,13 +4,13 @@
 
 from anvilwell_kernel import hop_by_hop
 
-from anvilwell_outside.adapters import answers
 from anvilwell_outside.adapters import http_adapter
+from anvilwell_outside.adapters import responses
 from anvilwell_outside.ports import plain
 
 MAX_ANSWER_BYTES = 64 << 20
 
-_SET_HERE = frozenset(("host", "content-length"))
+_SET_BY_CLIENT = frozenset(("host", "content-length"))
 
 
 class HttpPlain(http_adapter.BackendAdapter, plain.Plain):
@@ -24,14 +24,14 @@
     def call(self, request, *, timeout_s):
         """Return the `Response` to `request`; close its chunks."""
         deadline = time.monotonic() + timeout_s
-        dropped = hop_by_hop.HOP_BY_HOP | _SET_HERE
+        dropped = hop_by_hop.HOP_BY_HOP | _SET_BY_CLIENT
         response = self._client.open(
             request.method,
             request.path,
             body=request.body or None,
             headers=_without(dropped, request.headers),
             timeout_s=timeout_s,
-            fresh=not request.idempotent,
+            use_new_connection=not request.idempotent,
         )
         chunks = self._client.chunks(response, deadline, MAX_ANSWER_BYTES)
         headers = _without(hop_by_hop.HOP_BY_HOP, response.headers.items())
@@ -39,7 +39,7 @@
 
 
 def _without(names, headers):
-    kept = answers.Headers()
+    kept = responses.Headers()
     for name, value in headers:
         if name.lower() not in names:
             kept.add(name, value)
--- a/packages/outside/anvilwell_outside/adapters/http_scorer.py
+++ b/packages/outside/anvilwell_outside/adapters/http_scorer.py
@@ -4,9 +4,9 @@
 import pydantic
 import typing_extensions
 
-from anvilwell_outside.adapters import answers
 from anvilwell_outside.adapters import http_adapter
 from anvilwell_outside.adapters import json_bodies
+from anvilwell_outside.adapters import responses
 from anvilwell_outside.ports import scorer
 
 
@@ -41,15 +41,15 @@
             If a sample got no score, or two that differ.
         """
         body = [{"id": key, "text": text} for key, text in samples.items()]
-        answer = self._client.call(
+        response = self._client.call(
             "POST",
             "/score",
             body=json_bodies.encode({"samples": body}),
             headers=json_bodies.CONTENT_TYPE,
             timeout_s=timeout_s,
         )
-        answers.check_status(answer, "scorer")
-        found = json_bodies.decode(_SCORES, answer.body, "scorer")["scores"]
+        responses.check_status(response, "scorer")
+        found = json_bodies.decode(_SCORES, response.body, "scorer")["scores"]
         return _match(samples, found)
 
 
--- a/packages/outside/anvilwell_outside/adapters/http_vmlist.py
+++ b/packages/outside/anvilwell_outside/adapters/http_vmlist.py
@@ -3,9 +3,9 @@
 import pydantic
 import typing_extensions
 
-from anvilwell_outside.adapters import answers
 from anvilwell_outside.adapters import http_adapter
 from anvilwell_outside.adapters import json_bodies
+from anvilwell_outside.adapters import responses
 from anvilwell_outside.ports import vmlist
 
 
@@ -28,9 +28,9 @@
 
     def vms(self, *, timeout_s):
         """Return the listed VMs as ``vms_by_id``."""
-        answer = self._client.call("GET", "/vms", timeout_s=timeout_s)
-        answers.check_status(answer, "VM list")
-        body = json_bodies.decode(_VMS, answer.body, "VM list")
+        response = self._client.call("GET", "/vms", timeout_s=timeout_s)
+        responses.check_status(response, "VM list")
+        body = json_bodies.decode(_VMS, response.body, "VM list")
         return {
             vm["id"]: vmlist.Vm(
                 vm["id"], vm["address"], vm["failure_domain"], vm["state"]
--- a/packages/outside/anvilwell_outside/adapters/http_weightstore.py
+++ b/packages/outside/anvilwell_outside/adapters/http_weightstore.py
@@ -5,9 +5,9 @@
 import pydantic
 import typing_extensions
 
-from anvilwell_outside.adapters import answers
 from anvilwell_outside.adapters import http_adapter
 from anvilwell_outside.adapters import json_bodies
+from anvilwell_outside.adapters import responses
 from anvilwell_outside.ports import weightstore
 
 
@@ -30,11 +30,11 @@
             If the rate limit is reached; says when to come back.
         """
         name = parse.quote(model, safe="")
-        answer = self._client.call(
+        response = self._client.call(
             "GET", f"/models/{name}/versions", timeout_s=timeout_s
         )
-        answers.check_status(answer, "weight store")
-        body = json_bodies.decode(_VERSIONS, answer.body, "weight store")
+        responses.check_status(response, "weight store")
+        body = json_bodies.decode(_VERSIONS, response.body, "weight store")
         return body["versions"]
 
     def has(self, model, version, *, timeout_s):
--- a/packages/outside/anvilwell_outside/adapters/meter.py
+++ b/packages/outside/anvilwell_outside/adapters/meter.py
@@ -20,7 +20,7 @@
         with self._lock:
             self._counts_by_purpose_and_kind[str(purpose), kind] += 1
 
-    def watching(self, purpose, change):
+    def count_waiting(self, purpose, change):
         """Count a watch that begins (1) or ends (-1) to wait."""
         with self._lock:
             self._counts_by_purpose_and_kind[str(purpose), "waiting"] += change
--- a/packages/outside/anvilwell_outside/adapters/answers.py
+++ b/packages/outside/anvilwell_outside/adapters/responses.py
@@ -9,8 +9,8 @@
 Headers = urllib3.HTTPHeaderDict
 
 
-class Answer(typing.NamedTuple):
-    """A whole answer."""
+class HttpResponse(typing.NamedTuple):
+    """A whole response."""
 
     status: int
     headers: Headers
@@ -23,8 +23,8 @@
     return float(text) if text.isdecimal() else None
 
 
-def check_status(answer, what):
-    """Return `answer` if its status is 2xx.
+def check_status(response, what):
+    """Return `response` if its status is 2xx.
 
     Raises
     ------
@@ -35,17 +35,17 @@
     exceptions.BackendFailed
         For all else: a server error may come after the effect.
     """
-    if 200 <= answer.status < 300:
-        return answer
-    text = answer.body[:200].decode(errors="replace")
-    message = f"{what} answered {answer.status}: {text}"
-    if answer.status == 429:
+    if 200 <= response.status < 300:
+        return response
+    text = response.body[:200].decode(errors="replace")
+    message = f"{what} answered {response.status}: {text}"
+    if response.status == 429:
         raise exceptions.Refused(
             message,
             reason=reasons.Refusal.RATE_LIMITED,
-            retry_after=retry_after_s(answer.headers),
+            retry_after=retry_after_s(response.headers),
         )
-    kind = _ERRORS_BY_STATUS.get(answer.status, exceptions.BackendFailed)
+    kind = _ERRORS_BY_STATUS.get(response.status, exceptions.BackendFailed)
     raise kind(message)
 
 
--- a/packages/outside/anvilwell_outside/adapters/sse_engine.py
+++ b/packages/outside/anvilwell_outside/adapters/sse_engine.py
@@ -10,9 +10,9 @@
 import sseclient
 import typing_extensions
 
-from anvilwell_outside.adapters import answers
 from anvilwell_outside.adapters import http_adapter
 from anvilwell_outside.adapters import json_bodies
+from anvilwell_outside.adapters import responses
 from anvilwell_outside.ports import engine
 
 MAX_STREAM_BYTES = 64 << 20
@@ -53,12 +53,14 @@
 
     def load(self, *, timeout_s):
         """Return the engine's `Load`."""
-        answer = self._call("GET", "/metrics", timeout_s=timeout_s)
+        response = self._call("GET", "/metrics", timeout_s=timeout_s)
         try:
             families = parser.text_string_to_metric_families(
-                answer.body.decode()
+                response.body.decode()
+            )
+            return _parse_load(
+                {s.name: s for f in families for s in f.samples}
             )
-            return _load({s.name: s for f in families for s in f.samples})
         except (ValueError, KeyError) as error:
             raise exceptions.BackendFailed(
                 f"the engine's metrics are not understood: {error!r}"
@@ -79,12 +81,14 @@
         )
         if response.status != 200:
             data = b"".join(chunks)
-            answers.check_status(
-                answers.Answer(response.status, response.headers, data),
+            responses.check_status(
+                responses.HttpResponse(
+                    response.status, response.headers, data
+                ),
                 "engine",
             )
         try:
-            yield from _parse(sseclient.SSEClient(chunks).events())
+            yield from _parse_stream(sseclient.SSEClient(chunks).events())
         finally:
             chunks.close()
             response.close()
@@ -106,14 +110,16 @@
         exceptions.BackendFailed
             If it failed; the engine may have carried it out.
         """
-        answer = self._send(
+        response = self._send(
             "POST", "/orders", order._asdict(), timeout_s=timeout_s
         )
-        if answer.status == http.HTTPStatus.CONFLICT and _is_fenced(answer):
+        if response.status == http.HTTPStatus.CONFLICT and _is_fenced(
+            response
+        ):
             raise exceptions.Fenced(
                 f"the engine has seen a number above {order.fencing}"
             )
-        answers.check_status(answer, "engine /orders")
+        responses.check_status(response, "engine /orders")
 
     def export_cache(self, attempt_id, *, timeout_s):
         """Return the attempt's KV cache as bytes."""
@@ -128,12 +134,14 @@
     def events(self, since, *, timeout_s):
         """Return cache events after number `since`, maybe with gaps."""
         path = f"/events?since={since}"
-        answer = self._call("GET", path, timeout_s=timeout_s)
-        return json_bodies.decode(_EVENTS, answer.body, "events")["events"]
+        response = self._call("GET", path, timeout_s=timeout_s)
+        return json_bodies.decode(_EVENTS, response.body, "events")["events"]
 
     def _call(self, method, path, body=None, *, data=None, timeout_s):
-        answer = self._send(method, path, body, data=data, timeout_s=timeout_s)
-        return answers.check_status(answer, f"engine {path}")
+        response = self._send(
+            method, path, body, data=data, timeout_s=timeout_s
+        )
+        return responses.check_status(response, f"engine {path}")
 
     def _send(self, method, path, body=None, *, data=None, timeout_s):
         return self._client.call(
@@ -145,7 +153,7 @@
         )
 
 
-def _load(samples_by_name):
+def _parse_load(samples_by_name):
     version = samples_by_name["engine_version_info"].labels["version"]
     return engine.Load(
         int(samples_by_name["engine_requests_running"].value),
@@ -155,7 +163,7 @@
     )
 
 
-def _parse(events):
+def _parse_stream(events):
     """Yield `Tokens` for each event with some, `Finish` at the end."""
     count = 0
     finish = None
@@ -166,7 +174,7 @@
             yield engine.Finish(finish, count)
             return
         body = json_bodies.decode(_EVENT, event.data, "engine")
-        tokens = _tokens(body)
+        tokens = _parse_tokens(body)
         count += tokens.count
         if tokens.count:
             yield tokens
@@ -177,7 +185,7 @@
     )
 
 
-def _tokens(body):
+def _parse_tokens(body):
     if not body["choices"]:
         raise exceptions.BackendFailed("the engine sent an empty event")
     text = body["choices"][0].get("text", "")
@@ -190,9 +198,9 @@
     return engine.Tokens(text, count, version)
 
 
-def _is_fenced(answer):
+def _is_fenced(response):
     try:
-        reason = _ERROR.validate_json(answer.body)["error"]["reason"]
+        reason = _ERROR.validate_json(response.body)["error"]["reason"]
     except ValueError:
         return False
     return reason == reasons.Refusal.FENCED
--- a/packages/outside/anvilwell_outside/adapters/whole_heads.py
+++ b/packages/outside/anvilwell_outside/adapters/strict_connection.py
@@ -11,11 +11,11 @@
 _BLANK = (b"\r\n", b"\n")
 
 
-class CutHead(http.client.HTTPException):
+class TruncatedHead(http.client.HTTPException):
     """The connection ended before the answer's head did."""
 
 
-class _LastLine:
+class _LastLineReader:
     """A file that remembers the line that was read last."""
 
     def __init__(self, file):
@@ -34,17 +34,17 @@
     def begin(self):
         if self.headers is not None:
             return
-        lines = self.fp = _LastLine(self.fp)
+        lines = self.fp = _LastLineReader(self.fp)
         try:
             super().begin()
         finally:
             if self.fp is lines:
                 self.fp = lines.file
         if lines.line not in _BLANK:
-            raise CutHead("the head of the answer is cut")
+            raise TruncatedHead("the head of the answer is cut")
 
 
 class Connection(connection.HTTPConnection):
-    """One that raises `CutHead`."""
+    """One that raises `TruncatedHead`."""
 
     response_class = _Response
--- a/packages/outside/tests/adapters/test_http_client.py
+++ b/packages/outside/tests/adapters/test_http_client.py
@@ -7,8 +7,8 @@
 
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import verdict
-from anvilwell_outside.adapters import answers
 from anvilwell_outside.adapters import http_client
+from anvilwell_outside.adapters import responses
 import pytest
 
 WAIT_S = 20.0
@@ -138,7 +138,9 @@
 def test_fresh_call_takes_a_connection_of_its_own():
     with client_of([WHOLE, WHOLE], [WHOLE, WHOLE]) as (client, server):
         client.call("GET", "/", timeout_s=WAIT_S)
-        response = client.open("POST", "/", timeout_s=WAIT_S, fresh=True)
+        response = client.open(
+            "POST", "/", timeout_s=WAIT_S, use_new_connection=True
+        )
         assert response.read() == b"ok"
         assert server.connections() == 2
 
@@ -163,10 +165,10 @@
     ],
 )
 def test_status_has_its_verdict(status, kind, told):
-    headers = answers.Headers({"Retry-After": "3"})
-    answer = answers.Answer(status, headers, b"why")
+    headers = responses.Headers({"Retry-After": "3"})
+    answer = responses.HttpResponse(status, headers, b"why")
     with pytest.raises(kind, match="why") as caught:
-        answers.check_status(answer, "engine")
+        responses.check_status(answer, "engine")
     assert caught.value.verdict == told
 
 
@@ -175,5 +177,5 @@
     [("3", 3.0), ("", None), ("-1", None), ("nan", None), ("Wed, 21", None)],
 )
 def test_retry_after_is_whole_seconds_or_left_out(text, seconds):
-    headers = answers.Headers({"Retry-After": text})
-    assert answers.retry_after_s(headers) == seconds
+    headers = responses.Headers({"Retry-After": text})
+    assert responses.retry_after_s(headers) == seconds
