--- a/packages/gateway/anvilwell_gateway/entry.py
+++ b/packages/gateway/anvilwell_gateway/entry.py
@@ -191,7 +191,7 @@
             await self.peer_server.abort()
 
     async def abort(self):
-        """Abort the requests in flight, with a response, at the drain limit."""
+        """Respond to and abort the requests in flight at the drain limit."""
         await asyncio.gather(
             self.frontend.abort_requests(), self.peer_server.abort()
         )
