--- a/packages/decisions/anvilwell_decisions/configuration/__init__.py
+++ b/packages/decisions/anvilwell_decisions/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement on service documents: prepare everywhere, then one write."""
+"""Agreement on service documents: all instances prepare, then one write."""
--- a/packages/decisions/anvilwell_decisions/configuration/exchange.py
+++ b/packages/decisions/anvilwell_decisions/configuration/exchange.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: finds what two instances lack of each other."""
+"""Anti-entropy: finds the documents that two instances lack."""
 
 import typing
 
@@ -6,13 +6,20 @@
 import xxhash
 
 
+# Maximum size of a document's text.
 MAX_DOCUMENT_BYTES = 256 << 10
+# Maximum size of the documents in one message.
 MAX_EXCHANGE_BYTES = 512 << 10
+# Allowance for the other fields of a document in a message.
 _OVERHEAD_BYTES = 256
 
 
 class Difference(typing.NamedTuple):
-    """What the other instance lacks, and what this one does."""
+    """The difference between the documents of two instances.
+
+    ``documents`` holds those that the other instance lacks, ``wanted`` the
+    names of the services whose documents this instance lacks.
+    """
 
     documents: list
     wanted: list
@@ -24,9 +31,9 @@
     Parameters
     ----------
     documents_by_service : dict
-        The documents in force here.
+        The documents in force at this instance.
     services : collection of str
-        Restricts the result; empty means all.
+        The services to include; empty means all.
     """
     return [
         messages.DocumentVersion(
@@ -38,25 +45,25 @@
 
 
 def digest_of(documents_by_service, services=()):
-    """Return the `messages.DocumentDigest` of this instance's documents."""
+    """Return a `messages.DocumentDigest`, a hash of the document versions."""
     versions = versions_of(documents_by_service, services)
     state_hash = xxhash.xxh3_64_intdigest(repr(versions).encode())
     return messages.DocumentDigest(sorted(services), state_hash)
 
 
 def compare(documents_by_service, versions, services, follows):
-    """Return the `Difference` to an instance with `versions`.
+    """Return the `Difference` to an instance that has `versions`.
 
     Parameters
     ----------
     documents_by_service : dict
-        The documents in force here.
+        The documents in force at this instance.
     versions : list of messages.DocumentVersion
-        How far the other is with `services`.
+        The versions of `services` at the other instance.
     services : collection of str
-        What was compared; empty means all.
+        The services that were compared; empty means all.
     follows : callable
-        Whether this instance follows a service.
+        Takes a service's name; returns whether this instance follows it.
     """
     theirs_by_service = {one.service: one.sequence for one in versions}
     documents = [
@@ -76,7 +83,7 @@
 
 
 def limit(documents):
-    """Yield the first of `documents` that fit into one message."""
+    """Yield documents until the next one would not fit into the message."""
     size = 0
     for document in documents:
         size += len(document.text.encode()) + _OVERHEAD_BYTES
--- a/packages/decisions/anvilwell_decisions/configuration/flows.py
+++ b/packages/decisions/anvilwell_decisions/configuration/flows.py
@@ -1,7 +1,8 @@
 """Sequences of calls to the key-value service, as generators.
 
-Each yields an action and is sent its result: a `StoredValue` or a list of
-them for a read, a bool for a swap, and None when no answer came.
+Each generator yields actions and is sent their results: a `StoredValue` for
+the read of a key, a list of documents for the read of records, a bool for a
+compare-and-swap, and None if the key-value service did not respond.
 """
 
 import typing
@@ -18,7 +19,7 @@
 
 
 class ReadRecords(typing.NamedTuple):
-    """Action: read the records of `service`, of all if it is "".
+    """Action: read the records of `service`, or of all services if empty.
 
     The result is a list of documents.
     """
@@ -27,24 +28,24 @@
 
 
 def members_key(role):
-    """Return the key of the list that an instance of `role` joins."""
+    """Return the key of the member list for instances with `role`."""
     if role.service:
         return registry.agents_key(role.service)
     return registry.ENTRY_MEMBERS_KEY
 
 
 def join(instance, role):
-    """List `instance`, then read the records.
+    """Add `instance` to its member list, then read the records.
 
-    The order matters: a change that is accepted after the list was
-    written cannot land without this instance, and one accepted before
-    is what is read.
+    The order matters. A change that is accepted after the list was written
+    must have been prepared by this instance too, and one that was accepted
+    before is contained in the records that are read.
 
     Returns
     -------
     list of messages.Document or None
-        None if some call had no answer; the join is then tried again
-        from the start, which is harmless.
+        None if a call failed. The caller then starts the join again, which
+        is safe, since an instance is listed only once.
     """
     key = members_key(role)
     slot = yield ReadKey(key)
@@ -62,7 +63,13 @@
 
 
 def leave(instance, role):
-    """Take `instance` off its list; return whether it is off."""
+    """Remove `instance` from its member list.
+
+    Returns
+    -------
+    bool
+        Whether it is certainly not listed any more.
+    """
     key = members_key(role)
     slot = yield ReadKey(key)
     if slot is None:
@@ -79,12 +86,16 @@
 
 
 def resolve(prepare, in_force):
-    """Find the outcome of `prepare`, or decide it by a tombstone.
+    """Find the outcome of an attempt, or end the attempt by a tombstone.
+
+    A tombstone is a write of the record that only increases its sequence, so
+    that the accepting write of the attempt can no longer succeed.
 
     Returns
     -------
     messages.Document or None
-        What to learn; None if nothing could be decided now.
+        The document that is in force with this outcome, for
+        ``Member.learn``; None if the outcome can't be decided now.
     """
     slot = yield ReadKey(registry.record_key(prepare.document.service))
     if slot is None:
@@ -97,15 +108,15 @@
 
 
 def read_keys(service):
-    """Read what a change of `service` depends on.
+    """Read the keys that a change of `service` depends on.
 
-    The lists are read after the record: a stale list only makes the
-    accepting write fail.
+    The lists are read after the record. If a list has changed since, this
+    only makes the accepting write fail.
 
     Returns
     -------
     proposal.ServiceKeys or None
-        None if some call had no answer.
+        None if a call failed.
     """
     keys = (
         registry.record_key(service),
--- a/packages/decisions/anvilwell_decisions/configuration/member.py
+++ b/packages/decisions/anvilwell_decisions/configuration/member.py
@@ -1,4 +1,4 @@
-"""One instance's part in agreement, over all services it follows."""
+"""Takes part in the agreement protocol for all services of an instance."""
 
 import functools
 import typing
@@ -13,7 +13,7 @@
 
 
 class Role(typing.NamedTuple):
-    """Which services an instance follows; an entry follows all."""
+    """The service that an instance follows; empty for entries, meaning all."""
 
     service: str = ""
 
@@ -22,26 +22,26 @@
         return not self.service or self.service == service
 
     def covers(self, services):
-        """Return whether it follows all that follows `services`."""
+        """Return whether it follows all of `services`; empty means all."""
         return not self.service or list(services) == [self.service]
 
 
 class Member:
-    """Answers control messages and says which document is in force.
+    """Answers control messages and returns the documents in force.
 
     Parameters
     ----------
     instance : messages.Instance
         This process.
     role : Role
-        What it follows.
+        The services that it follows.
     bounds : limits.Limits
-        The protocol's bounds.
+        The limits of the protocol.
     validate : callable
-        Takes a service's name and a text; returns a list of str, all
-        problems of the text.
+        Takes a service's name and a document's text; returns the problems of
+        the text as a list of str.
     observe : callable
-        Called with each ``messages.Document`` that was applied.
+        Called with each ``messages.Document`` that is applied.
     """
 
     def __init__(self, instance, role, bounds, validate, observe):
@@ -66,7 +66,7 @@
 
     @property
     def documents_by_service(self):
-        """The documents in force here, uncertain ones too."""
+        """The documents in force, even if a change of one is uncertain."""
         return {
             service: one.in_force
             for service, one in self._participants_by_service.items()
@@ -74,7 +74,7 @@
         }
 
     def document(self, service, now):
-        """Return the ``messages.Document`` to take new work under.
+        """Return the ``messages.Document`` that applies to new work.
 
         Raises
         ------
@@ -84,7 +84,7 @@
         """
         if self.is_leaving:
             raise exceptions.Refused(
-                "this daemon is leaving", reason=reasons.Refusal.DRAINING
+                "this daemon is draining", reason=reasons.Refusal.DRAINING
             )
         if not self.membership.may_serve(now):
             raise exceptions.Refused(
@@ -95,14 +95,19 @@
         found = self._participants_by_service.get(service)
         if found is None:
             raise exceptions.Refused(
-                f"no document of {service} is known here",
+                f"this daemon has no document for service {service}",
                 reason=reasons.Refusal.NOT_CONFIGURED,
             )
         found.check(now)
         return found.in_force
 
     def learn(self, document):
-        """Take in what a record held; return a `participant.LearnResult`."""
+        """Process a document that was read from a record.
+
+        Returns
+        -------
+        participant.LearnResult
+        """
         if not self.role.follows(document.service):
             return participant.LearnResult.KNOWN
         result = self.participant(document.service).learn(document)
@@ -110,7 +115,7 @@
         return result
 
     def pending(self):
-        """Return the `messages.PrepareChange` without a known outcome."""
+        """Return the `messages.PrepareChange` whose outcomes are unknown."""
         return [
             one.pending.prepare
             for one in self._participants_by_service.values()
@@ -118,12 +123,13 @@
         ]
 
     def resolutions_due(self, position_of, now):
-        """Return each `messages.PrepareChange` whose outcome to look for.
+        """Return the `messages.PrepareChange` whose outcomes to look up now.
 
         Parameters
         ----------
         position_of : callable
-            This instance's rank in its failure domain for a prepare.
+            Takes a prepare; returns this instance's rank for it within its
+            failure domain.
         now : float
             Monotonic time, s.
         """
@@ -136,14 +142,14 @@
 
     @functools.singledispatchmethod
     def handle(self, message, now):
-        """Answer one control message with another."""
+        """Process a control message and return the message to answer with."""
         raise exceptions.MalformedMessage(
-            f"no answer to {type(message).__name__}"
+            f"unexpected message {type(message).__name__}"
         )
 
     @handle.register
     def _prepare(self, message: messages.PrepareChange, now):
-        """Answer for this instance; relaying is done elsewhere."""
+        """Answer for this instance only; relaying is done elsewhere."""
         target = self._own_target(message)
         if target.incarnation != self.instance.incarnation:
             return messages.PrepareAnswer(
@@ -160,7 +166,10 @@
 
     @handle.register
     def _commit(self, message: messages.CommitChange, now):
-        """Answer `ChangeAcknowledged`, with nobody if it must be fetched."""
+        """Apply the change and acknowledge it.
+
+        The acknowledgement is empty if the sender must provide the document.
+        """
         part = self.participant(message.service)
         before = part.in_force
         is_known = part.commit(message)
@@ -177,7 +186,7 @@
 
     @handle.register
     def _digest(self, message: messages.DocumentDigest, now):
-        """Answer how far this instance is, unless the hashes agree."""
+        """Answer with the versions of this instance if the hashes differ."""
         documents = self.documents_by_service
         mine = exchange.digest_of(documents, message.services)
         if mine.state_hash == message.state_hash:
@@ -188,7 +197,7 @@
 
     @handle.register
     def _documents(self, message: messages.Documents, now):
-        """Learn what came and answer with what is wanted."""
+        """Process received documents and answer with the requested ones."""
         for document in message.documents:
             self.learn(document)
         documents = self.documents_by_service
--- a/packages/decisions/anvilwell_decisions/configuration/outcomes.py
+++ b/packages/decisions/anvilwell_decisions/configuration/outcomes.py
@@ -1,11 +1,11 @@
-"""What an operator is told of a change."""
+"""Requests for changes of documents, and their outcomes."""
 
 import enum
 import typing
 
 
 class OutcomeKind(enum.StrEnum):
-    """Whether a change is in force."""
+    """The kinds of outcomes of a change."""
 
     IN_FORCE = "in-force"
     REFUSED = "refused"
@@ -13,9 +13,10 @@
 
 
 class Request(typing.NamedTuple):
-    """A change that an operator or a trainer asks for.
+    """A change that an operator or a trainer requests.
 
-    ``expected_generation`` of None means that any will do.
+    If ``expected_generation`` is not None, the change is refused unless that
+    generation is in force.
     """
 
     change_id: str
@@ -26,12 +27,13 @@
 
 
 class Outcome(typing.NamedTuple):
-    """The answer to a change.
+    """The outcome of a requested change.
 
-    ``REFUSED`` is final and in force nowhere. ``UNKNOWN`` is settled
-    later; asking again with the same change id tells how.
-    ``is_transient`` marks a refusal by a race with another change:
-    trying again soon may do better.
+    A change that was ``REFUSED`` is in force nowhere and never will be. One
+    whose outcome is ``UNKNOWN`` is decided later; a request with the same
+    change id then returns its outcome. ``missing`` lists the VMs that did not
+    answer. ``is_transient`` marks a refusal because of a conflict, such as a
+    concurrent change: a retry may succeed.
     """
 
     outcome: OutcomeKind
--- a/packages/decisions/anvilwell_decisions/configuration/participant.py
+++ b/packages/decisions/anvilwell_decisions/configuration/participant.py
@@ -1,4 +1,4 @@
-"""One instance's view of one service's document."""
+"""Takes part in the agreement protocol for one service."""
 
 import enum
 import typing
@@ -7,11 +7,13 @@
 from anvilwell_kernel.messages import configuration as messages
 from anvilwell_kernel import reasons
 
+# Aborted attempts that are remembered, so that a delayed prepare of one is
+# refused.
 _ABORTED_REMEMBERED = 64
 
 
 class LearnResult(enum.StrEnum):
-    """What became of a document that an instance was shown."""
+    """The result of processing a document that was read from a record."""
 
     APPLIED = "applied"
     KNOWN = "known"
@@ -19,7 +21,7 @@
 
 
 class Pending(typing.NamedTuple):
-    """A change that this instance prepared and knows no outcome of."""
+    """A change that this instance prepared and whose outcome is unknown."""
 
     prepare: messages.PrepareChange
     prepared_at: float
@@ -28,9 +30,9 @@
 class Participant:
     """Prepares, applies and fences documents of one service.
 
-    The document in force only moves to later generations. At most one
-    change is prepared at a time; `fence_s` after that, new work is
-    refused until the outcome is known.
+    The generation of the document in force never decreases. At most one
+    change is prepared at a time. If its outcome is still unknown after
+    ``fence_s``, new work is refused until it is known.
 
     Parameters
     ----------
@@ -39,7 +41,7 @@
     instance : messages.Instance
         This process.
     bounds : limits.Limits
-        The protocol's bounds.
+        The limits of the protocol.
     """
 
     def __init__(self, service, instance, bounds):
@@ -51,21 +53,22 @@
         self._aborted = {}
 
     def prepare(self, request, problems, now):
-        """Answer a `PrepareChange`.
+        """Prepare for a change, if this instance can accept it.
 
         Parameters
         ----------
         request : messages.PrepareChange
-            The change to get ready for.
+            The change to prepare for.
         problems : list of str
-            What this instance finds wrong with the text.
+            The problems that this instance found in the text.
         now : float
             Monotonic time, s.
 
         Returns
         -------
         messages.PrepareAnswer
-            Once it says prepared, the instance is bound by it.
+            With the state PREPARED, this instance accepts no other change
+            until the outcome of this one is known.
         """
         if self._is_pending(request.attempt):
             return self._answer(request, messages.PrepareState.PREPARED)
@@ -81,12 +84,13 @@
         return self._answer(request, messages.PrepareState.PREPARED)
 
     def commit(self, message):
-        """Apply a prepared attempt that landed.
+        """Apply a prepared attempt whose write was accepted.
 
         Returns
         -------
         bool
-            False if the document must be fetched from the sender.
+            False if the attempt was not prepared here, so that the document
+            must be fetched from the sender.
         """
         if message.sequence <= self.in_force.sequence:
             return True
@@ -96,7 +100,7 @@
         return True
 
     def abort(self, attempt):
-        """Forget an attempt that never landed and never will."""
+        """Drop an attempt that was not written and never will be."""
         self._aborted[attempt] = None
         if len(self._aborted) > _ABORTED_REMEMBERED:
             del self._aborted[next(iter(self._aborted))]
@@ -104,12 +108,13 @@
             self.pending = None
 
     def learn(self, document):
-        """Take in what the record held after some write of it.
+        """Process a document that was read from the record.
 
         Returns
         -------
         LearnResult
-            ``BEHIND`` if this instance has seen a later write.
+            ``APPLIED`` if it has a new generation, ``KNOWN`` if it has the
+            current one, ``BEHIND`` if this instance has a later document.
         """
         if document.sequence < self.in_force.sequence:
             return LearnResult.BEHIND
@@ -125,7 +130,7 @@
         return LearnResult.APPLIED if applied else LearnResult.KNOWN
 
     def check(self, now):
-        """Raise unless new work may be taken under the document.
+        """Raise an exception unless new work may use the document in force.
 
         Raises
         ------
@@ -134,26 +139,26 @@
         """
         if self.is_uncertain(now):
             raise exceptions.Refused(
-                f"an outcome of a change of {self.service} is not known "
-                "yet; try again",
+                f"the outcome of a change of service {self.service} is not "
+                "known yet; try again",
                 reason=reasons.Refusal.CONFIGURATION_UNCERTAIN,
                 retry_after=self._bounds.resolve_step_s,
             )
         if not self.in_force.generation:
             raise exceptions.Refused(
-                f"no document of {self.service} is known here",
+                f"this daemon has no document for service {self.service}",
                 reason=reasons.Refusal.NOT_CONFIGURED,
                 retry_after=self._bounds.fence_s,
             )
 
     def is_uncertain(self, now):
-        """Return whether a prepared change is without outcome too long."""
+        """Return whether a prepared change has no outcome after `fence_s`."""
         if self.pending is None:
             return False
         return now - self.pending.prepared_at >= self._bounds.fence_s
 
     def resolve_due(self, position, now):
-        """Return the attempt whose outcome to look for now, or None.
+        """Return the pending prepare if its outcome is to be looked up now.
 
         Parameters
         ----------
@@ -161,6 +166,10 @@
             This instance's rank in its failure domain for the attempt.
         now : float
             Monotonic time, s.
+
+        Returns
+        -------
+        messages.PrepareChange or None
         """
         if self.pending is None:
             return None
--- a/packages/decisions/anvilwell_decisions/configuration/placement.py
+++ b/packages/decisions/anvilwell_decisions/configuration/placement.py
@@ -1,4 +1,4 @@
-"""Who relays, watches and resolves: chosen without any message."""
+"""Chooses relays, watchers and resolvers by hash, without any message."""
 
 import itertools
 import typing
@@ -17,20 +17,20 @@
 
 
 class Branch(typing.NamedTuple):
-    """A failure domain's targets; the first one is the relay."""
+    """The targets in one failure domain; the first one is the relay."""
 
     failure_domain: str
     targets: list
 
 
 def branches(subject, instances):
-    """Split `instances` by failure domain, the relay of each first.
+    """Group `instances` by failure domain, with the relay of each first.
 
     Returns
     -------
     list of Branch
-        Sorted by failure domain; the relay differs by `subject`, which
-        spreads the work.
+        Sorted by failure domain. The relay depends on `subject`, which
+        distributes the load.
     """
 
     def domain_of(instance):
--- a/packages/decisions/anvilwell_decisions/configuration/proposal.py
+++ b/packages/decisions/anvilwell_decisions/configuration/proposal.py
@@ -1,4 +1,4 @@
-"""The proposer's side of one change."""
+"""Carries out one change of a document at its proposer."""
 
 import enum
 import typing
@@ -21,14 +21,14 @@
 
 
 class StoredValue(typing.NamedTuple):
-    """A key as it was read; revision 0 and None if it is absent."""
+    """The value of a key as read; revision 0 and None if it is absent."""
 
     revision: int
     value: bytes | None
 
 
 class ServiceKeys(typing.NamedTuple):
-    """The keys that a change of one service depends on."""
+    """The values of the keys that a change of one service depends on."""
 
     record: StoredValue
     entries: StoredValue
@@ -36,7 +36,7 @@
 
 
 class Write(typing.NamedTuple):
-    """One conditional write of a key."""
+    """A write of a key that must still be at revision ``expected``."""
 
     key: str
     expected: int
@@ -44,7 +44,7 @@
 
 
 class Guard(typing.NamedTuple):
-    """A key that must be at ``expected`` still; it is not written."""
+    """A key that must still be at revision ``expected``; it isn't written."""
 
     key: str
     expected: int
@@ -55,38 +55,38 @@
 
 
 class SendPrepare(typing.NamedTuple):
-    """Action: ask `targets` to prepare."""
+    """Action: request the targets to prepare."""
 
     prepare: messages.PrepareChange
 
 
 class CompareAndSwap(typing.NamedTuple):
-    """Action: apply all `writes` if all `guards` hold, else none."""
+    """Action: apply all writes if all revisions match, else none."""
 
     writes: list[Write]
     guards: typing.Sequence[Guard] = ()
 
 
 class SendCommit(typing.NamedTuple):
-    """Action: tell the targets that the change is in force."""
+    """Action: notify the targets that the change is in force."""
 
     commit: messages.CommitChange
 
 
 class SendAbort(typing.NamedTuple):
-    """Action: tell the targets that the change never will be."""
+    """Action: notify the targets that the change will never be in force."""
 
     abort: messages.AbortChange
 
 
 class ReportOutcome(typing.NamedTuple):
-    """Action: tell the operator."""
+    """Action: report the outcome to the operator."""
 
     outcome: outcomes.Outcome
 
 
 class Phase(enum.StrEnum):
-    """Where a proposal is."""
+    """The phases of a proposal."""
 
     READING = "reading"
     PREPARING = "preparing"
@@ -96,22 +96,22 @@
 
 
 class Proposal:
-    """Carries one change to its end; events in, actions out.
+    """The state machine of one change; takes events and returns actions.
 
-    The accepting write is sent only after each listed instance has
-    prepared or certainly does not serve. Once it may have been sent,
-    only the record says what became of it.
+    The accepting write is sent only after each listed instance has prepared
+    or certainly does not serve. Once the write may have been sent, only the
+    record can show whether it was applied.
 
     Parameters
     ----------
     request : outcomes.Request
-        The change; its text is already found valid here.
+        The change; its text has been validated at the proposer.
     attempt : str
-        Unique to this proposal.
+        An id that is unique to this proposal.
     in_force : messages.Document
-        What is in force at the proposer.
+        The document in force at the proposer.
     bounds : limits.Limits
-        The protocol's bounds.
+        The limits of the protocol.
     now : float
         Monotonic time, s.
     """
@@ -139,7 +139,7 @@
         return [Read()]
 
     def on_reading(self, reading, now):
-        """Take in the keys of the service as they are."""
+        """Process the `ServiceKeys` that were read."""
         if self.phase is Phase.READING:
             return self._on_first_reading(reading, now)
         if self.phase is Phase.READING_BACK:
@@ -147,14 +147,18 @@
         return []
 
     def on_read_failed(self, now):
-        """Take in that the service did not answer a read."""
+        """Process that the key-value service did not answer a read."""
         if self.phase is Phase.READING:
             return self._refuse(reasons.Refusal.KEY_VALUE_UNAVAILABLE)
         self._due_at = now + self._bounds.retry_s
         return []
 
     def on_answer(self, answer, now):
-        """Take in what a member said, or is known, of the prepare."""
+        """Process a member's answer to the prepare.
+
+        An answer with a state such as GONE does not come from the member: the
+        sender found out why the member can't answer.
+        """
         key = _key(answer.instance)
         if self.phase is not Phase.PREPARING:
             return []
@@ -172,7 +176,7 @@
         return self._swap_if_ready()
 
     def on_swap(self, landed, now):
-        """Take in whether the accepting write landed."""
+        """Process whether the accepting write was applied."""
         if self.phase is not Phase.SWAPPING:
             return []
         if landed:
@@ -181,12 +185,12 @@
         return [Read()]
 
     def on_swap_lost(self, never_sent, now):
-        """Take in that the accepting write was not answered.
+        """Process that there was no response to the accepting write.
 
         Parameters
         ----------
         never_sent : bool
-            True only if it certainly did not reach the service.
+            True only if it certainly did not reach the key-value service.
         now : float
             Monotonic time, s.
         """
@@ -200,7 +204,7 @@
         return []
 
     def tick(self, now):
-        """Return what is due at `now`."""
+        """Return the actions that are due at `now`."""
         if self.phase is Phase.PREPARING:
             return self._tick_preparing(now)
         actions = self._answer_if_late(now)
@@ -325,9 +329,10 @@
         )
 
     def _list_condition(self, key, slot):
-        """Return a `Write` if members are taken off the list, or a `Guard`.
+        """Return a `Write` if it removes members from the list, or a `Guard`.
 
-        Either way the change cannot land beside a member not asked.
+        Either way the accepting write fails if a member joined that was not
+        requested to prepare.
         """
         listed = registry.decode(slot.value)
         kept = registry.prune(listed, self._left_out_by_key.values())
@@ -374,10 +379,10 @@
         return [SendCommit(commit), *answer]
 
     def _abort(self, reason, problems=(), missing=()):
-        """End a change of which no write can land any more."""
+        """Refuse the change, unless a write of it may still be applied."""
         if self._is_in_doubt and self.phase is Phase.PREPARING:
-            # A write without these members may still land: only the
-            # record can say.
+            # An earlier write, for which these members were not needed, may
+            # still be applied; only the record can show that.
             self.phase = Phase.READING_BACK
             return []
         self.phase = Phase.DONE
--- a/packages/decisions/anvilwell_decisions/configuration/record.py
+++ b/packages/decisions/anvilwell_decisions/configuration/record.py
@@ -1,4 +1,4 @@
-"""The record of a service: what its key in the service holds."""
+"""The record of a service, as stored in the key-value service."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class Change(typing.NamedTuple):
-    """One accepted change; ``attempt`` is unique to one proposal."""
+    """An accepted change; ``attempt`` identifies its proposal."""
 
     change_id: str
     attempt: str
@@ -22,10 +22,11 @@
 
 
 class Record(typing.NamedTuple):
-    """A service's document with its recent changes.
+    """The document of a service and its recent changes.
 
-    ``generation`` counts accepted documents, ``sequence`` writes of the
-    record. A record of generation 0 has no document yet.
+    ``generation`` counts accepted documents and ``sequence`` counts writes of
+    the record, including tombstones. A record with generation 0 has no
+    document yet.
     """
 
     schema: int
@@ -40,7 +41,7 @@
 
 
 def empty(service):
-    """Return the record of a service that has no key yet."""
+    """Return the record of a service that has none stored yet."""
     return Record(SCHEMA, service, 0, 0, "", [])
 
 
@@ -50,20 +51,20 @@
 
 
 def decode(value, service):
-    """Return the record in `value`, an empty one if it is None.
+    """Decode a record from bytes; None gives an empty record.
 
     Raises
     ------
     exceptions.MalformedMessage
-        If it is not a record, or of a later schema.
+        If `value` is not a record or has a later schema.
     """
     if value is None:
         return empty(service)
     record = _CODEC.decode(value)
     if record.schema > SCHEMA:
         raise exceptions.MalformedMessage(
-            f"record of {service} has schema {record.schema}, known: "
-            f"{SCHEMA}; update this daemon"
+            f"record of service {service} has schema {record.schema}, but "
+            f"this daemon supports only up to {SCHEMA}; update this daemon"
         )
     return record
 
@@ -76,7 +77,7 @@
 
 
 def accept(record, document, change):
-    """Return `record` after `change` to `document`."""
+    """Return the record that follows `record` once `change` is accepted."""
     history = [*record.history, change][-limits.HISTORY_CHANGES :]
     return Record(
         SCHEMA,
@@ -89,15 +90,17 @@
 
 
 def tombstone(record, document):
-    """Return a record in which only the sequence has moved on.
+    """Return a record that keeps the document and increases the sequence.
+
+    Writing it ends all attempts that were built on earlier sequences.
 
     Parameters
     ----------
     record : Record
-        What the service holds.
+        The record that the key-value service holds.
     document : messages.Document
-        What is in force at the writer; never older than `record`
-        unless the service has lost data.
+        The document in force at the writer. It is used if it is newer than
+        `record`, which happens if the key-value service has lost data.
     """
     newest = max(document_of(record), document, key=lambda one: one.sequence)
     return record._replace(
--- a/packages/decisions/anvilwell_decisions/configuration/registry.py
+++ b/packages/decisions/anvilwell_decisions/configuration/registry.py
@@ -1,4 +1,4 @@
-"""The list of instances that must prepare each change."""
+"""Keys and member lists; all listed instances must prepare each change."""
 
 import typing
 
@@ -11,7 +11,7 @@
 
 
 class MemberList(typing.NamedTuple):
-    """The instances that one key lists."""
+    """The instances that are listed under one key."""
 
     instances: list[messages.Instance]
 
@@ -30,7 +30,7 @@
 
 
 def decode(value):
-    """Return the `MemberList` in `value`, an empty one if None."""
+    """Decode a `MemberList` from bytes; None gives an empty list."""
     return MemberList([]) if value is None else _CODEC.decode(value)
 
 
@@ -40,7 +40,7 @@
 
 
 def join(members, instance):
-    """Return `members` with `instance` in place of its VM's last one."""
+    """Return `members` with `instance`, which replaces one on the same VM."""
     others = [one for one in members.instances if one.vm_id != instance.vm_id]
     return MemberList(sorted([*others, instance]))
 
--- a/packages/decisions/anvilwell_decisions/configuration/resolution.py
+++ b/packages/decisions/anvilwell_decisions/configuration/resolution.py
@@ -1,4 +1,4 @@
-"""Finds the outcome of a change whose proposer has gone silent."""
+"""Finds the outcome of a change if its proposer does not report it."""
 
 import typing
 
@@ -10,11 +10,11 @@
 
 
 class Resolution(typing.NamedTuple):
-    """What the record says of an attempt.
+    """The outcome of an attempt according to the record.
 
-    ``document`` is what to learn, None while undecided; then ``write``
-    is the tombstone to try, and ``tombstone`` what to learn if it
-    lands.
+    If the attempt is decided, ``document`` is the document to apply. If not,
+    ``write`` writes a tombstone, and ``tombstone`` is the document to apply
+    if that write succeeds.
     """
 
     document: messages.Document | None
@@ -23,22 +23,23 @@
 
 
 def resolve(slot, prepare, in_force):
-    """Decide on an attempt from the record.
+    """Determine the outcome of an attempt from the record.
 
     Parameters
     ----------
     slot : proposal.StoredValue
         The service's record as it was read.
     prepare : messages.PrepareChange
-        The attempt in doubt.
+        The attempt whose outcome is unknown.
     in_force : messages.Document
-        What is in force at this instance.
+        The document in force at this instance.
 
     Returns
     -------
     Resolution
-        Without document and write if the service has older data than
-        the attempt was built on: then nothing can be decided here.
+        Without document and write if the attempt was built on newer data than
+        both the key-value service and this instance have. The outcome can't
+        be determined here then.
     """
     service = prepare.document.service
     record = records.decode(slot.value, service)
--- a/packages/decisions/anvilwell_decisions/configuration/sponsorship.py
+++ b/packages/decisions/anvilwell_decisions/configuration/sponsorship.py
@@ -1,23 +1,26 @@
-"""Instances that started while the key-value service was down."""
+"""Lets an instance serve that started during a store outage."""
 
 import typing
 
 
 class Sponsored(typing.NamedTuple):
-    """Whom an instance depends on, and when it last heard from it."""
+    """The sponsor of an instance and the time of the last granted request."""
 
     sponsor: object
     last_contact_at: float
 
 
 class Membership:
-    """Whether this instance may serve at all.
-
-    It may once it is in the service's member list, or for a bound
-    after a listed instance without a change prepared told it what is
-    in force. A change that lands later needs that one's prepare, or
-    its end, which comes after the question: so the bound, no longer
-    than the fence, ends soon enough.
+    """Decides whether this instance may serve.
+
+    It may serve once it is in the member list of the key-value service.
+    Before that, it may serve for ``sponsor_s`` after it requested the
+    documents in force from a sponsor, a listed instance without a pending
+    change. A change that is accepted later needs the sponsor's prepare, or
+    the sponsor must have stopped; both happen after the request. All
+    instances must stop serving the old document within ``fence_s`` of the
+    acceptance. As ``sponsor_s`` is not longer than that, a sponsored instance
+    stops in time.
     """
 
     def __init__(self, bounds):
@@ -26,12 +29,12 @@
         self.sponsored = None
 
     def mark_listed(self):
-        """Note that this instance is in the member list."""
+        """Record that this instance is in the member list."""
         self.is_listed = True
         self.sponsored = None
 
     def record_sponsor_answer(self, sponsor, asked_at):
-        """Note an answer of `sponsor` to a question of `asked_at`."""
+        """Record that `sponsor` granted a request sent at `asked_at`."""
         if self.is_listed:
             return
         self.sponsored = Sponsored(sponsor, asked_at)
--- a/packages/decisions/tests/configuration/configuration_store.py
+++ b/packages/decisions/tests/configuration/configuration_store.py
@@ -1,4 +1,4 @@
-"""The key-value service that the driven instances share."""
+"""A simulated key-value service, shared by all simulated instances."""
 
 from anvilwell_decisions.configuration import flows
 from anvilwell_decisions.configuration import proposal
@@ -9,7 +9,7 @@
 
 
 class Store:
-    """The key-value service, linearizable."""
+    """A key-value service that applies one action at a time."""
 
     def __init__(self):
         self.slots_by_key = {}
--- a/packages/decisions/tests/configuration/configuration_world.py
+++ b/packages/decisions/tests/configuration/configuration_world.py
@@ -1,4 +1,4 @@
-"""Several instances, a store and a network, driven step by step."""
+"""Simulates several instances, a store and a network, step by step."""
 
 import enum
 import functools
@@ -17,8 +17,8 @@
 
 SERVICE = configuration_store.SERVICE
 BOUNDS = limits.Limits()
-# Times are multiples of 1/8 s, which floats hold exactly: else a bound
-# and its check may round to different sides.
+# Times are multiples of 1/8 s, which floats represent exactly. Otherwise a
+# limit and its check could be rounded in different directions.
 STEP_S = 0.125
 UNREADABLE = "unreadable"
 
@@ -32,7 +32,7 @@
 
 
 class Packet(typing.NamedTuple):
-    """A message on its way; `take` gets the receiver's answer."""
+    """A message in transit; ``take`` is called with the receiver's answer."""
 
     sender: str
     receiver: str
@@ -41,7 +41,7 @@
 
 
 class Call(typing.NamedTuple):
-    """A call of the store; `take(result, never_sent)` gets the answer."""
+    """A call of the store; its result goes to ``take(result, never_sent)``."""
 
     caller: str
     action: object
@@ -49,7 +49,7 @@
 
 
 class Node:
-    """One VM; a restart gives it a new incarnation."""
+    """A simulated VM; each restart gives its instance a new incarnation."""
 
     def __init__(self, world, vm_id, role, is_old=False):
         self.world = world
@@ -107,7 +107,7 @@
         if not membership.is_listed and not self.is_joining:
             self.join()
         if not membership.is_listed:
-            self._ask_sponsor()
+            self._request_sponsor()
         for prepare in self.member.resolutions_due(self._position, now):
             if prepare.attempt not in self.resolving:
                 self.resolving.add(prepare.attempt)
@@ -183,7 +183,7 @@
                 self, peer.instance, messages.Documents([document]), None
             )
 
-    def _ask_sponsor(self):
+    def _request_sponsor(self):
         request = messages.SponsorRequest([SERVICE])
         for peer in self.world.others(self):
             self.world.send(
@@ -214,7 +214,12 @@
 
 
 class World:
-    """Holds the nodes and all that is on its way between them."""
+    """Holds the nodes and all messages and calls in transit.
+
+    ``wire`` holds what is in transit, ``held`` the store calls that are held
+    back, ``cut`` the ids on one side of a network partition and
+    ``without_store`` the nodes that can't reach the store.
+    """
 
     def __init__(self):
         self.now = 0.0
@@ -244,22 +249,24 @@
     def send(self, node, target, message, take):
         instance = node.instance
 
-        def take_if_same(answer):
+        def deliver_if_running(answer):
             if instance is node.instance and node.is_alive:
                 take(answer)
 
         self.wire.append(
-            Packet(node.vm_id, target.vm_id, message, take and take_if_same)
+            Packet(
+                node.vm_id, target.vm_id, message, take and deliver_if_running
+            )
         )
 
     def call(self, node, action, take):
         instance = node.instance
 
-        def guarded(result, never_sent=False):
+        def deliver_result(result, never_sent=False):
             if instance is node.instance and node.is_alive:
                 take(result, never_sent)
 
-        self.wire.append(Call(node.vm_id, action, guarded))
+        self.wire.append(Call(node.vm_id, action, deliver_result))
 
     def on_document(self, node):
         incarnation = node.instance.incarnation
@@ -283,24 +290,24 @@
             )
 
     def step(self, index, fate):
-        """Let one thing on the wire meet its fate."""
+        """Deliver, drop or delay one message or call in transit."""
         if not self.wire:
             return
-        thing = self.wire.pop(index % len(self.wire))
-        if isinstance(thing, Packet):
-            self._step_packet(thing, fate)
+        item = self.wire.pop(index % len(self.wire))
+        if isinstance(item, Packet):
+            self._step_packet(item, fate)
         else:
-            self._step_call(thing, fate)
+            self._step_call(item, fate)
 
     def step_call(self, fate):
-        """Let the first call of the store meet its fate."""
-        for index, thing in enumerate(self.wire):
-            if isinstance(thing, Call):
+        """Deliver, drop or delay the first store call in transit."""
+        for index, item in enumerate(self.wire):
+            if isinstance(item, Call):
                 self.step(index, fate)
                 return
 
     def hold_swaps(self, most):
-        """Deliver in order until a conditional write is next; hold it."""
+        """Deliver in order until a compare-and-swap is sent; hold it back."""
         for _ in range(most):
             swaps = [
                 one
@@ -315,19 +322,19 @@
             self.step(0, Fate.DELIVER)
 
     def release(self):
-        """Put what was held back on its way."""
+        """Send the calls that were held back."""
         self.wire += self.held
         self.held = []
 
     def advance(self, seconds):
-        """Move time on and let each running node do what is due."""
+        """Advance the time and tick each running node."""
         self.now += seconds
         for node in self.nodes_by_id.values():
             if node.is_alive and not node.is_paused:
                 node.tick()
 
     def settle(self, seconds=3.0):
-        """Let everything work for a while."""
+        """End all faults and run all nodes for some seconds."""
         self.cut = frozenset()
         self.without_store = frozenset()
         self.store.is_up = True
@@ -339,14 +346,14 @@
         self.flush()
 
     def flush(self, most=2000):
-        """Deliver all that is on its way, in order."""
+        """Deliver everything in transit, in order."""
         for _ in range(most):
             if not self.wire:
                 return
             self.step(0, Fate.DELIVER)
 
     def find_gone(self, node):
-        """Tell `node`'s proposal which targets certainly do not run."""
+        """Notify the proposal of `node` of targets that are certainly gone."""
         if not node.proposal:
             return
         for key in list(node.proposal._waiting_by_key):
@@ -364,7 +371,7 @@
                 node._on_answer(answer)
 
     def exchange(self, sender, receiver):
-        """Let one node send what it has in force to another."""
+        """Send the documents in force at one node to another."""
         node = self.nodes_by_id[sender]
         if node.is_alive and not node.is_paused and sender != receiver:
             documents = list(node.member.documents_by_service.values())
@@ -376,7 +383,7 @@
             )
 
     def generation_served(self, node):
-        """Return what `node` takes new work under, None if it does not."""
+        """Return the generation that `node` uses for new work, or None."""
         if not node.is_alive or node.is_paused:
             return None
         try:
@@ -385,7 +392,13 @@
             return None
 
     def check(self):
-        """Raise AssertionError unless all that must hold holds."""
+        """Assert the safety properties of the protocol.
+
+        No refused attempt is in the record, and the record is not older than a
+        generation that was reported to be in force. No node serves a generation that
+        was never accepted, or one that was replaced more than ``fence_s``
+        ago.
+        """
         record = self.store.record()
         attempts = {one.attempt for one in record.history}
         assert not attempts & self.refused_attempts
@@ -401,12 +414,12 @@
         for node in self.nodes_by_id.values():
             served = self.generation_served(node)
             assert served is None or served >= oldest, (
-                f"{node.vm_id} serves {served}, {oldest} is past the bound"
+                f"{node.vm_id} serves {served} after the fence of {oldest}"
             )
             assert served is None or served in self.landed_at_by_generation
 
     def check_settled(self):
-        """Raise AssertionError unless all serve what was accepted."""
+        """Assert that all running nodes serve the accepted generation."""
         generation = self.store.record().generation
         for node in self.nodes_by_id.values():
             if node.is_alive and not node.member.is_leaving:
@@ -474,11 +487,11 @@
         return result
 
 
-def is_of(thing, vm_id):
-    """Return whether `thing` on the wire is from or to `vm_id`."""
-    if isinstance(thing, Call):
-        return thing.caller == vm_id
-    return vm_id in (thing.sender, thing.receiver)
+def involves(item, vm_id):
+    """Return whether a message or call is from or to `vm_id`."""
+    if isinstance(item, Call):
+        return item.caller == vm_id
+    return vm_id in (item.sender, item.receiver)
 
 
 class _Reply(typing.NamedTuple):
@@ -486,4 +499,4 @@
 
 
 def _ignore(result, never_sent=False):
-    """Take the answer that nobody waits for."""
+    """Discard the result of a call whose caller has given up waiting."""
--- a/packages/decisions/tests/configuration/conftest.py
+++ b/packages/decisions/tests/configuration/conftest.py
@@ -1,4 +1,4 @@
-"""Lets the tests here import the world that they share."""
+"""Lets the tests in this directory import the simulation they share."""
 
 import pathlib
 import sys
--- a/packages/decisions/tests/configuration/test_agreement.py
+++ b/packages/decisions/tests/configuration/test_agreement.py
@@ -1,4 +1,4 @@
-"""What must hold of configuration whatever fails, by state machine."""
+"""Checks the safety of the agreement protocol under random faults."""
 
 import configuration_world as worlds
 import hypothesis
@@ -32,7 +32,11 @@
 
 
 class AgreementMachine(stateful.RuleBasedStateMachine):
-    """The scheduler loses, repeats, delays, pauses and crashes at will."""
+    """Changes documents while messages are lost and nodes fail.
+
+    Messages and store calls are also repeated and delayed; nodes crash,
+    restart, pause and leave.
+    """
 
     def __init__(self):
         super().__init__()
@@ -74,7 +78,7 @@
         seconds=strategies.sampled_from((0.25, 0.625, 1.125)),
         count=strategies.integers(0, 30),
     )
-    def go_on(self, seconds, count):
+    def advance(self, seconds, count):
         self.world.advance(seconds)
         self._deliver(count)
 
@@ -91,7 +95,7 @@
             node.start()
         elif fault == "pause":
             node.is_paused = not node.is_paused
-        elif not self._leaving():
+        elif not self._leaving_nodes():
             node.member.is_leaving = True
 
     @stateful.rule(vm_id=NODES, is_up=strategies.booleans(), cut=CUTS)
@@ -105,8 +109,8 @@
         self.world.cut = cut
 
     @stateful.rule(vm_id=NODES, proposer=ENTRIES)
-    def join_beside_a_write(self, vm_id, proposer):
-        """Let a node start again while a write waits."""
+    def restart_during_a_write(self, vm_id, proposer):
+        """Restart a node while an accepting write is held back."""
         self.changes += 1
         self._propose(proposer, f"change-{self.changes}")
         self.world.hold_swaps(20)
@@ -118,11 +122,11 @@
     def exchange(self, sender, receiver):
         self.world.exchange(sender, receiver)
 
-    @stateful.rule(is_up=strategies.booleans(), cut=CUTS, apart=CUTS)
-    def fail_links(self, is_up, cut, apart):
+    @stateful.rule(is_up=strategies.booleans(), cut=CUTS, without_store=CUTS)
+    def fail_links(self, is_up, cut, without_store):
         self.world.store.is_up = is_up
         self.world.cut = cut
-        self.world.without_store = apart
+        self.world.without_store = without_store
 
     @stateful.rule(vm_id=ENTRIES, count=strategies.integers(0, 30))
     def find_gone(self, vm_id, count):
@@ -151,7 +155,7 @@
         for _ in range(count):
             self.world.step(0, worlds.Fate.DELIVER)
 
-    def _leaving(self):
+    def _leaving_nodes(self):
         return [
             node
             for node in self.world.nodes_by_id.values()
--- a/packages/decisions/tests/configuration/test_scenarios.py
+++ b/packages/decisions/tests/configuration/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Single failures, each step chosen."""
+"""Tests single failures of the agreement protocol, step by step."""
 
 import configuration_world as worlds
 import pytest
@@ -34,15 +34,15 @@
         if is_reached():
             return
         world.step(0, worlds.Fate.DELIVER)
-    raise AssertionError("the wire never got there")
+    raise AssertionError("the condition was not reached after 200 steps")
 
 
-def swap_waits(world):
-    """Return whether the accepting write is the next call."""
+def swap_in_transit(world):
+    """Return whether the accepting write is in transit."""
     return any(
-        isinstance(thing, worlds.Call)
-        and isinstance(thing.action, proposal.CompareAndSwap)
-        for thing in world.wire
+        isinstance(item, worlds.Call)
+        and isinstance(item.action, proposal.CompareAndSwap)
+        for item in world.wire
     )
 
 
@@ -53,10 +53,10 @@
     }
 
 
-def test_lost_answer_is_read_back_after_another_operator_wrote():
+def test_lost_response_is_resolved_by_reading_after_another_change():
     world = make_world()
     lost = propose(world, "a1", "second")
-    deliver_until(world, lambda: swap_waits(world))
+    deliver_until(world, lambda: swap_in_transit(world))
     world.step_call(worlds.Fate.LOSE_ANSWER)
     world.nodes_by_id["a1"].is_paused = True
     for _ in range(20):
@@ -88,7 +88,7 @@
     assert world.refused_texts == {"second"}
 
 
-def test_member_that_cannot_be_asked_makes_it_refused():
+def test_unreachable_member_causes_refusal():
     world = make_world()
     world.cut = frozenset(("b2",))
     propose(world, "a1", "second")
@@ -102,10 +102,10 @@
     assert set(served_by_id(world).values()) == {1}
 
 
-def test_proposer_dies_before_the_write():
+def test_proposer_crashes_before_the_write():
     world = make_world()
     propose(world, "a1", "second")
-    deliver_until(world, lambda: swap_waits(world))
+    deliver_until(world, lambda: swap_in_transit(world))
     world.nodes_by_id["a1"].is_alive = False
     world.wire.clear()
     world.settle()
@@ -114,10 +114,10 @@
     assert world.store.record().sequence == 2
 
 
-def test_late_write_loses_to_the_tombstone():
+def test_late_write_fails_after_a_tombstone():
     world = make_world()
     propose(world, "a1", "second")
-    deliver_until(world, lambda: swap_waits(world))
+    deliver_until(world, lambda: swap_in_transit(world))
     world.step_call(worlds.Fate.LATE)
     late = [one for one in world.wire if isinstance(one, worlds.Call)]
     assert len(late) == 1
@@ -131,10 +131,10 @@
     world.check_settled()
 
 
-def test_service_down_between_phases_stops_new_work_until_it_is_back():
+def test_store_outage_between_phases_stops_new_work_until_it_ends():
     world = make_world()
     propose(world, "a1", "second")
-    deliver_until(world, lambda: swap_waits(world))
+    deliver_until(world, lambda: swap_in_transit(world))
     world.step_call(worlds.Fate.LATE)
     world.store.is_up = False
     world.advance(1.875)
@@ -147,7 +147,7 @@
     assert None not in served_by_id(world).values()
 
 
-def test_change_names_a_member_that_joined_after_the_lists_were_read():
+def test_change_includes_a_member_that_joined_after_the_lists_were_read():
     world = make_world()
     world.nodes_by_id["b2"].is_alive = False
     propose(world, "a1", "second")
@@ -166,10 +166,10 @@
 
 
 @pytest.mark.parametrize("vm_id", ["b1", "b2"])
-def test_guard_of_a_list_alone_names_who_joined_after_preparing(vm_id):
+def test_guard_of_a_list_detects_a_member_that_joined_after_preparing(vm_id):
     world = make_world()
     propose(world, "a1", "second")
-    deliver_until(world, lambda: swap_waits(world))
+    deliver_until(world, lambda: swap_in_transit(world))
     swap = world.wire.pop()
     assert [one.key for one in swap.action.writes] == [
         registry.record_key(worlds.SERVICE)
@@ -183,7 +183,7 @@
     world.check()
 
 
-def test_start_during_an_outage_is_sponsored_and_bound():
+def test_start_during_an_outage_is_sponsored_for_a_limited_time():
     world = make_world()
     world.store.is_up = False
     starting = world.nodes_by_id["b2"]
@@ -199,7 +199,7 @@
 
 
 def make_sponsored(world):
-    """Restart b2 where it reaches the others but not the service."""
+    """Restart b2 so that it reaches the other nodes but not the store."""
     starting = world.nodes_by_id["b2"]
     world.without_store = frozenset(("b2",))
     starting.start()
@@ -210,28 +210,28 @@
     return starting
 
 
-def go_on_without(world, vm_id, seconds):
-    """Let the others work while nothing reaches `vm_id`."""
+def run_isolated(world, vm_id, seconds):
+    """Run the other nodes while `vm_id` is isolated."""
     for _ in range(round(seconds / 0.25)):
         world.wire = [
-            one for one in world.wire if not worlds.is_of(one, vm_id)
+            one for one in world.wire if not worlds.involves(one, vm_id)
         ]
         world.flush()
         world.advance(0.25)
         world.check()
 
 
-def test_sponsored_instance_stops_when_a_change_lands_without_it():
+def test_sponsored_instance_stops_when_a_change_is_accepted_without_it():
     world = make_world()
     starting = make_sponsored(world)
     propose(world, "a1", "second")
-    deliver_until(world, lambda: swap_waits(world))
-    go_on_without(world, "b2", 2.5)
+    deliver_until(world, lambda: swap_in_transit(world))
+    run_isolated(world, "b2", 2.5)
     assert world.in_force_generation == 2
     assert world.generation_served(starting) is None
 
 
-def test_sponsor_without_the_outcome_lets_nobody_go_on():
+def test_sponsor_without_the_outcome_does_not_extend_serving():
     world = make_world()
     starting = make_sponsored(world)
     propose(world, "a1", "second")
@@ -248,7 +248,7 @@
     world.check_settled()
 
 
-def test_instance_with_a_change_prepared_sponsors_nobody():
+def test_instance_with_a_pending_change_grants_no_sponsorship():
     world = make_world()
     sponsor = world.nodes_by_id["a1"].member
     propose(world, "a1", "second")
@@ -270,7 +270,7 @@
     assert kinds == [flows.ReadKey, proposal.CompareAndSwap, flows.ReadRecords]
 
 
-def test_older_daemon_that_cannot_read_the_text_refuses_for_all():
+def test_one_older_daemon_that_cannot_read_the_text_causes_refusal():
     world = make_world()
     propose(world, "a1", worlds.UNREADABLE)
     world.settle()
@@ -278,7 +278,7 @@
     assert set(served_by_id(world).values()) == {1}
 
 
-def test_older_data_in_the_service_is_never_applied():
+def test_older_data_in_the_store_is_never_applied():
     world = make_world()
     backup = dict(world.store.slots_by_key)
     propose(world, "a1", "second")
@@ -298,8 +298,11 @@
     return (yield flows.ReadRecords(""))
 
 
-def test_members_and_sponsored_stop_by_the_bound_after_a_landing():
-    """The shrunk example of a long run of the state machine."""
+def test_members_and_sponsored_stop_in_time_after_acceptance():
+    """Restart a node while the store is down and lose all commit messages.
+
+    The state machine of test_agreement found this case.
+    """
     world = make_world()
     world.store.is_up = False
     starting = world.nodes_by_id["b1"]
