--- a/packages/decisions/tests/configuration/configuration_world.py
+++ b/packages/decisions/tests/configuration/configuration_world.py
@@ -395,9 +395,9 @@
         """Assert the safety properties of the protocol.
 
         No refused attempt is in the record, and the record is not older than a
-        generation that was reported to be in force. No node serves a generation that
-        was never accepted, or one that was replaced more than ``fence_s``
-        ago.
+        generation that was reported to be in force. No node serves a
+        generation that was never accepted, or one that was replaced more than
+        ``fence_s`` ago.
         """
         record = self.store.record()
         attempts = {one.attempt for one in record.history}
