--- a/packages/decisions/anvilwell_decisions/samples/chunks.py
+++ b/packages/decisions/anvilwell_decisions/samples/chunks.py
@@ -15,7 +15,7 @@
 RETRY_S = 1.0
 
 
-class Landing(enum.Enum):
+class ChunkAuthor(enum.Enum):
     """What is known of a chunk's write."""
 
     MINE = "mine"
@@ -38,13 +38,13 @@
         self._interval_s = interval_s
         self._waiting = []
         self._since = 0.0
-        self._flying = ()
+        self._in_flight = ()
         self._retry_at = None
 
     @property
-    def held(self):
+    def unwritten(self):
         """Entries that are not known to be written."""
-        return len(self._waiting) + len(self._flying)
+        return len(self._waiting) + len(self._in_flight)
 
     def append(self, entry, now):
         """Add `entry` to the next chunk."""
@@ -54,7 +54,7 @@
 
     def due_at(self):
         """Return when `write` has something to do; None if never."""
-        if self._flying:
+        if self._in_flight:
             return self._retry_at
         if not self._waiting:
             return None
@@ -62,43 +62,43 @@
 
     def write(self, now, *, at_once=False):
         """Return the ``WriteChunk`` that is due, in a list."""
-        if self._flying:
+        if self._in_flight:
             return self._write_again(now)
         full = len(self._waiting) >= CHUNK_ENTRIES
         due = self._waiting and now >= self._since + self._interval_s
         if not (full or due or (at_once and self._waiting)):
             return []
-        self._flying = tuple(self._waiting[:CHUNK_ENTRIES])
+        self._in_flight = tuple(self._waiting[:CHUNK_ENTRIES])
         del self._waiting[:CHUNK_ENTRIES]
         self._since = now
-        return [actions.WriteChunk(self.number, self._flying)]
+        return [actions.WriteChunk(self.number, self._in_flight)]
 
     def _write_again(self, now):
         if self._retry_at is None or now < self._retry_at:
             return []
         self._retry_at = None
-        return [actions.WriteChunk(self.number, self._flying)]
+        return [actions.WriteChunk(self.number, self._in_flight)]
 
-    def unknown(self, now, retry_s=RETRY_S):
+    def retry_later(self, now, retry_s=RETRY_S):
         """Note that the write gave no answer; it is tried again."""
-        if self._flying:
+        if self._in_flight:
             self._retry_at = now + retry_s
 
-    def landed(self, number):
+    def confirm_written(self, number):
         """Return the entries of chunk `number`, now written."""
-        if number != self.number or not self._flying:
+        if number != self.number or not self._in_flight:
             return ()
-        entries = self._flying
-        self._flying = ()
+        entries = self._in_flight
+        self._in_flight = ()
         self._retry_at = None
         self.number += 1
         return entries
 
     def compare(self, number, entries):
         """Say whose chunk `number` is, given the `entries` there."""
-        if number != self.number or tuple(entries) == self._flying:
-            return Landing.MINE
-        return Landing.OTHER
+        if number != self.number or tuple(entries) == self._in_flight:
+            return ChunkAuthor.MINE
+        return ChunkAuthor.OTHER
 
 
 def last_holder(entries):
--- a/packages/decisions/anvilwell_decisions/samples/coordinator.py
+++ b/packages/decisions/anvilwell_decisions/samples/coordinator.py
@@ -39,9 +39,9 @@
         self._bound = bound
         self._scored = scored
         self._groups_by_id = {}
-        self._got_by_run = {}
-        self._done_by_run = {}
-        self._speeds = speeds.Speeds()
+        self._last_delivered_by_run = {}
+        self._last_trained_by_run = {}
+        self._speeds = speeds.SlowReplicaDetector()
         self.schedule = schedules.Schedule(bound, policy)
         self.ledgers_by_run = {}
 
@@ -58,7 +58,7 @@
         self.schedule.add_run(run, weight)
         found = ledger.recover(chunks_by_number, now, base)
         for step in ledger.open_steps():
-            self._learn(step)
+            self._register_step(step)
         return self._address(run, found)
 
     def configure(self, bound, preference, weights_by_run):
@@ -68,13 +68,13 @@
         for run, ledger in self.ledgers_by_run.items():
             ledger.set_bound(bound)
             self.schedule.add_run(run, weights_by_run.get(run, 1.0))
-        return [*self._cancel_doomed(), *self._starts()]
+        return [*self._cancel_over_age(), *self._starts()]
 
     def submit(self, step, now):
         """Take a step; see ``Ledger.submit``."""
         ledger = self.ledgers_by_run[step.run]
         found = ledger.submit(step, now)
-        self._learn(step)
+        self._register_step(step)
         return self._address(step.run, found)
 
     def group(self, sample):
@@ -103,7 +103,7 @@
         if running is None:
             return []
         self.schedule.ended(attempt)
-        return self._again([running.pending.sample])
+        return self._requeue([running.pending.sample])
 
     def progress(self, tokens_by_attempt, now):
         """Take all streams' tokens so far; hedge those that hardly move."""
@@ -113,12 +113,12 @@
             attempt: running.replica
             for attempt, running in self.schedule.running_by_attempt.items()
         }
-        slow = self._speeds.look(tokens_by_attempt, replicas_by_attempt, now)
+        slow = self._speeds.update(tokens_by_attempt, replicas_by_attempt, now)
         return _address_starts(self.schedule.hedge(slow) if slow else ())
 
     def replica_lost(self, replica_id, now):
         """Note that a replica is gone with all it was running."""
-        return self._again(self.schedule.remove_replica(replica_id))
+        return self._requeue(self.schedule.remove_replica(replica_id))
 
     def replica(self, replica_id, slots, version):
         """Note a replica's slots and version."""
@@ -128,19 +128,19 @@
     def published(self, version):
         """Note the latest version; cancel what will be too old."""
         self.schedule.latest = version
-        return self._cancel_doomed()
+        return self._cancel_over_age()
 
     def trainer_version(self, run, version, now):
         """Note the version that a trainer has."""
         found = self.ledgers_by_run[run].trainer_version(version, now)
-        self._tell_needs(run, waiting=False)
-        return [*self._address(run, found), *self._cancel_doomed()]
+        self._update_needed_step(run, waiting=False)
+        return [*self._address(run, found), *self._cancel_over_age()]
 
     def collect(self, run, cursor, limit, now, *, waiting=False):
         """Return the batch at `cursor`; its actions are addressed."""
         self.schedule.now = now
         batch = self.ledgers_by_run[run].collect(cursor, limit, now)
-        self._note_need(run, batch, waiting)
+        self._record_collect(run, batch, waiting)
         return batch._replace(actions=tuple(self._address(run, batch.actions)))
 
     def tick(self, now):
@@ -162,14 +162,16 @@
         found = getattr(self.ledgers_by_run[run], event.__name__)(*args)
         return self._address(run, found)
 
-    def _learn(self, step):
+    def _register_step(self, step):
         self._groups_by_id.update(
             ((step.run, step.step, group.group), group)
             for group in step.groups
         )
-        self.schedule.expect_step(step.run, step.step, len(step.sample_ids()))
+        self.schedule.set_step_size(
+            step.run, step.step, len(step.sample_ids())
+        )
 
-    def _again(self, samples):
+    def _requeue(self, samples):
         for sample in dict.fromkeys(samples):
             wanted = self.ledgers_by_run[sample.run].wants(sample)
             if wanted and not self.schedule.is_running(sample):
@@ -179,7 +181,7 @@
     def _add(self, sample):
         self.schedule.add(sample, self.group(sample))
 
-    def _note_need(self, run, batch, waiting):
+    def _record_collect(self, run, batch, waiting):
         """Learn from a collect which step the trainer waits for.
 
         A trainer that just got the last sample of a step trains on it;
@@ -188,29 +190,29 @@
         training = self.schedule.training(run)
         training.end(self.schedule.now)
         got = max(batch.steps_whole, default=identity.NO_STEP)
-        if got > self._got_by_run.get(run, identity.NO_STEP):
-            self._got_by_run[run] = got
+        if got > self._last_delivered_by_run.get(run, identity.NO_STEP):
+            self._last_delivered_by_run[run] = got
             training.begin(self.schedule.now)
-            self._tell_needs(run, waiting=False)
+            self._update_needed_step(run, waiting=False)
             return
-        self._done_by_run[run] = got
-        self._tell_needs(run, waiting=waiting)
+        self._last_trained_by_run[run] = got
+        self._update_needed_step(run, waiting=waiting)
 
-    def _tell_needs(self, run, *, waiting):
+    def _update_needed_step(self, run, *, waiting):
         ledger = self.ledgers_by_run[run]
-        done = self._done_by_run.get(run, identity.NO_STEP)
-        self.schedule.need(
+        done = self._last_trained_by_run.get(run, identity.NO_STEP)
+        self.schedule.set_needed_step(
             run,
             ledger.delivery.step_after(done),
             ledger.delivery.trainer_version,
             waiting=waiting,
         )
 
-    def _cancel_doomed(self):
-        cancels = self.schedule.doomed()
+    def _cancel_over_age(self):
+        cancels = self.schedule.over_age_cancels()
         for cancel in cancels:
             self.schedule.ended(cancel.attempt)
-        again = self._again([cancel.sample for cancel in cancels])
+        again = self._requeue([cancel.sample for cancel in cancels])
         return [*(Addressed(c.sample.run, c) for c in cancels), *again]
 
     def _address(self, run, found):
@@ -226,7 +228,7 @@
                     kept.extend(self._settle(action.sample))
                 case _:
                     kept.append(action)
-        self._tell_needs(run, waiting=self.schedule.trainer_waits(run))
+        self._update_needed_step(run, waiting=self.schedule.trainer_waits(run))
         return [*(Addressed(run, a) for a in kept), *self._starts()]
 
     def _forget(self, run, through):
--- a/packages/decisions/anvilwell_decisions/samples/delivery.py
+++ b/packages/decisions/anvilwell_decisions/samples/delivery.py
@@ -64,7 +64,7 @@
         self._first = 0
         self._slots = []
         self._sent_end = 0
-        self._held_back = None
+        self._blocked_at = None
         self._missing_by_step = {}
         self._last_by_step = {}
 
@@ -106,13 +106,13 @@
         self._last_by_step[step] = position
         return position
 
-    def recovered(self, choice):
+    def restore(self, choice):
         """Give a `choice` of an earlier holder its position."""
         position = self.recorded(choice, Bytes.FETCHING)
         self._sent_end = self.end
         return position
 
-    def voided(self, position):
+    def void(self, position):
         """Give up `position` for good and return its choice."""
         slot = self._slot(position)
         if not slot.voided:
@@ -130,16 +130,16 @@
 
     def is_fetching(self, position):
         """Return whether the bytes of `position` are being fetched."""
-        if self.is_done_with(position):
+        if self.is_closed(position):
             return False
         return self._slot(position).bytes is Bytes.FETCHING
 
     def bytes_found(self, position):
         """Note that the bytes of `position` are here."""
-        if not self.is_done_with(position):
+        if not self.is_closed(position):
             self._slot(position).bytes = Bytes.HERE
 
-    def is_done_with(self, position):
+    def is_closed(self, position):
         """Return whether `position` is given up or before all kept."""
         return position < self._first or self._slot(position).voided
 
@@ -149,7 +149,7 @@
         slot.voided = True
         self._slots.append(slot)
 
-    def finished(self, keep):
+    def last_releasable_step(self, keep):
         """Return the last step that may be forgotten, or ``NO_STEP``.
 
         ``keep`` finished steps stay, for a trainer that comes back at
@@ -188,14 +188,14 @@
 
     def bytes_lost(self, position):
         """Note that the bytes of `position` are nowhere."""
-        if not self.is_done_with(position):
+        if not self.is_closed(position):
             self._slot(position).bytes = Bytes.LOST
 
-    def overdue(self):
+    def void_over_age(self):
         """Return voids of positions never sent that grew too old."""
         start = max(self._sent_end, self._first)
         return tuple(
-            self._give_up(position)
+            self._begin_void(position)
             for position in range(start, self.end)
             if self._is_over_age(position)
         )
@@ -203,8 +203,8 @@
     def collect(self, cursor, limit):
         """Return the `Batch` at `cursor`; it acknowledges all before."""
         self._check_cursor(cursor)
-        if self._held_back and self._held_back[0] != cursor:
-            self._held_back = None
+        if self._blocked_at and self._blocked_at[0] != cursor:
+            self._blocked_at = None
         self.acknowledged = cursor
         position, positions, choices = cursor, [], []
         while position < self.end and len(choices) < limit:
@@ -216,12 +216,12 @@
                 choices.append(slot.choice)
             position += 1
         self._sent_end = max(self._sent_end, position)
-        voids, at_once = self._hold_back(cursor, position, limit, choices)
+        voids, at_once = self._void_blocked(cursor, position, limit, choices)
         return Batch(
             tuple(positions),
             tuple(choices),
             position,
-            self._whole(position),
+            self._whole_steps(position),
             voids,
             at_once,
         )
@@ -239,18 +239,18 @@
         away = slot.bytes is not Bytes.HERE
         return slot.voiding or away or self._is_over_age(position)
 
-    def _hold_back(self, cursor, position, limit, choices):
+    def _void_blocked(self, cursor, position, limit, choices):
         blocked = position < self.end and len(choices) < limit
         if not blocked or not self._is_undeliverable(position):
             return (), False
-        surely_lacked = position >= self._sent_end
-        asked_again = self._held_back == (cursor, position)
-        if not (surely_lacked or (asked_again and position == cursor)):
-            self._held_back = (cursor, position)
+        never_sent = position >= self._sent_end
+        is_repeated = self._blocked_at == (cursor, position)
+        if not (never_sent or (is_repeated and position == cursor)):
+            self._blocked_at = (cursor, position)
             return (), True
-        self._held_back = None
+        self._blocked_at = None
         return tuple(
-            self._give_up(other)
+            self._begin_void(other)
             for other in range(position, self.end)
             if self._is_undeliverable(other)
         ), False
@@ -261,7 +261,7 @@
             return False
         return slot.bytes is Bytes.LOST or self._is_over_age(position)
 
-    def _give_up(self, position):
+    def _begin_void(self, position):
         slot = self._slot(position)
         slot.voiding = True
         lost = slot.bytes is Bytes.LOST
@@ -278,7 +278,7 @@
     def _slot(self, position):
         return self._slots[position - self._first]
 
-    def _whole(self, end):
+    def _whole_steps(self, end):
         return tuple(
             step
             for step, missing in sorted(self._missing_by_step.items())
--- a/packages/decisions/anvilwell_decisions/samples/fairness.py
+++ b/packages/decisions/anvilwell_decisions/samples/fairness.py
@@ -24,7 +24,7 @@
         self._weights_by_run[run] = weight
         self._slots_by_run.setdefault(run, 0)
 
-    def file(self, run, ready, *, early=False):
+    def set_ready(self, run, ready, *, early=False):
         """Note whether `run` has work that may start."""
         key = self._keys_by_run.pop(run, None)
         if key is not None:
@@ -39,9 +39,9 @@
         """Return the run that goes next, None if none is ready."""
         return self._ready[0][-1] if self._ready else None
 
-    def hold(self, run, slots):
+    def add_slots(self, run, slots):
         """Note that `run` took (or, if negative, gave back) slots."""
         self._slots_by_run[run] += slots
         key = self._keys_by_run.get(run)
         if key is not None:
-            self.file(run, True, early=key[0])
+            self.set_ready(run, True, early=key[0])
--- a/packages/decisions/anvilwell_decisions/samples/ledger.py
+++ b/packages/decisions/anvilwell_decisions/samples/ledger.py
@@ -32,7 +32,7 @@
     RECORDED = "recorded"
 
 
-_ASKS_BY_PHASE = {
+_ACTIONS_BY_PHASE = {
     Phase.SCORING: actions.Score,
     Phase.COPYING: actions.Replicate,
 }
@@ -95,9 +95,9 @@
         self.delivery = delivery.Delivery(bound)
 
     @property
-    def held(self):
+    def unwritten(self):
         """Entries not yet known to be written."""
-        return self._log.held
+        return self._log.unwritten
 
     def recover(self, chunks_by_number, now, base=None):
         """Take over what earlier holders wrote, and fence them.
@@ -141,7 +141,7 @@
                     return
                 sample = self._samples_by_id[entry.sample]
                 sample.phase = Phase.RECORDED
-                sample.position = self.delivery.recovered(entry)
+                sample.position = self.delivery.restore(entry)
             case records.Void():
                 self._void(entry)
             case records.TrainerVersion():
@@ -218,19 +218,22 @@
         sample.score = None
         sample.failures = 0
         settled = actions.Settled(sample_id)
-        return [settled, *self._ask(sample_id, sample, self._first_phase())]
+        return [
+            settled,
+            *self._enter_phase(sample_id, sample, self._first_phase()),
+        ]
 
     def scored(self, sample_id, digest, score, now):
         """Take a score; a second answer changes nothing."""
-        sample = self._answered(sample_id, digest, Phase.SCORING)
+        sample = self._take_candidate(sample_id, digest, Phase.SCORING)
         if sample is None:
             return []
         sample.score = score
-        return self._ask(sample_id, sample, Phase.COPYING)
+        return self._enter_phase(sample_id, sample, Phase.COPYING)
 
     def replicated(self, sample_id, digest, holders, now):
         """Note that `holders` have the bytes; the choice can be written."""
-        sample = self._answered(sample_id, digest, Phase.COPYING)
+        sample = self._take_candidate(sample_id, digest, Phase.COPYING)
         if sample is None:
             return []
         if self._is_over_age(sample.result):
@@ -252,7 +255,7 @@
         sample = self._candidate(sample_id, digest)
         if sample is None or sample_id in self._retries:
             return False
-        return _ASKS_BY_PHASE[sample.phase] is kind
+        return _ACTIONS_BY_PHASE[sample.phase] is kind
 
     def not_done(self, sample_id, digest, now):
         """Note that scoring or copying failed; it is tried again."""
@@ -269,12 +272,12 @@
         if self.stopped:
             return []
         due = [i for i, at in self._retries.items() if at <= now]
-        asks = []
+        repeated = []
         for sample_id in due:
             del self._retries[sample_id]
             sample = self._samples_by_id[sample_id]
-            asks.extend(self._ask(sample_id, sample, sample.phase))
-        return [*asks, *self._log.write(now)]
+            repeated.extend(self._enter_phase(sample_id, sample, sample.phase))
+        return [*repeated, *self._log.write(now)]
 
     def next_due(self):
         """Return when `tick` has something to do; None if never."""
@@ -283,7 +286,7 @@
 
     def written(self, number, now):
         """Note that chunk `number` was written."""
-        entries = self._log.landed(number)
+        entries = self._log.confirm_written(number)
         found = [a for entry in entries for a in self._recorded(entry)]
         if entries:
             self._retention.written(number, entries, self.delivery.end)
@@ -291,12 +294,12 @@
 
     def write_unknown(self, now):
         """Note that a write gave no answer; it may have landed."""
-        self._log.unknown(now)
+        self._log.retry_later(now)
         return []
 
     def write_conflict(self, number, entries, now):
         """Take the `entries` that chunk `number` holds instead."""
-        if self._log.compare(number, entries) is chunks.Landing.MINE:
+        if self._log.compare(number, entries) is chunks.ChunkAuthor.MINE:
             return self.written(number, now)
         self.active = False
         self.stopped = True
@@ -314,7 +317,7 @@
             and self._is_over_age(sample.result)
         ]
         redone = [a for i, s in stale for a in self._redo(i, s)]
-        voids = self.delivery.overdue()
+        voids = self.delivery.void_over_age()
         for void in voids:
             self._log.append(void, now)
         return [*redone, *self._log.write(now, at_once=True)]
@@ -343,7 +346,7 @@
         return [actions.Deliverable(self.delivery.end)]
 
     def _forget(self):
-        through = self.delivery.finished(retention.KEPT_STEPS)
+        through = self.delivery.last_releasable_step(retention.KEPT_STEPS)
         if through <= self._retention.through:
             return []
         for number in [n for n in self._steps_by_number if n <= through]:
@@ -388,9 +391,9 @@
         return self._unfinished()
 
     def _void(self, void):
-        if self.delivery.is_done_with(void.position):
+        if self.delivery.is_closed(void.position):
             return []
-        choice = self.delivery.voided(void.position)
+        choice = self.delivery.void(void.position)
         sample = self._samples_by_id[choice.sample]
         discard = actions.Discard(choice.sample, choice.digest)
         sample.phase = Phase.WANTED
@@ -408,9 +411,9 @@
     def _first_phase(self):
         return Phase.SCORING if self._scored else Phase.COPYING
 
-    def _ask(self, sample_id, sample, phase):
+    def _enter_phase(self, sample_id, sample, phase):
         sample.phase = phase
-        return [_ASKS_BY_PHASE[phase](sample_id, sample.result.digest)]
+        return [_ACTIONS_BY_PHASE[phase](sample_id, sample.result.digest)]
 
     def _candidate(self, sample_id, digest, phase=None):
         sample = self._samples_by_id.get(sample_id)
@@ -420,7 +423,7 @@
         fits = sample.phase in phases and sample.result.digest == digest
         return sample if fits else None
 
-    def _answered(self, sample_id, digest, phase):
+    def _take_candidate(self, sample_id, digest, phase):
         sample = self._candidate(sample_id, digest, phase)
         if sample is not None:
             self._retries.pop(sample_id, None)
--- a/packages/decisions/anvilwell_decisions/samples/lengths.py
+++ b/packages/decisions/anvilwell_decisions/samples/lengths.py
@@ -6,14 +6,14 @@
 
 HIGH_PERCENTILE = 90.0
 MIDDLE_PERCENTILE = 50.0
-GROWTH = 1.5
+GROWTH_FACTOR = 1.5
 MAX_TOKENS = 1 << 22
 SIGNIFICANT_DIGITS = 2
 PROMPTS_KEPT = 16384
 REFRESH_EVERY = 64
 
 
-class Lengths:
+class LengthPredictor:
     """Predicts lengths in tokens for one run.
 
     A prompt that was seen before is predicted by the longest of its
@@ -55,7 +55,7 @@
         """
         if tokens <= self.predict(prompt, max_tokens, scouted=True):
             return False
-        self._raise(prompt, min(int(tokens * GROWTH), max_tokens))
+        self._raise(prompt, min(int(tokens * GROWTH_FACTOR), max_tokens))
         return True
 
     def predict(self, prompt, max_tokens, *, scouted=False):
--- a/packages/decisions/anvilwell_decisions/samples/queues.py
+++ b/packages/decisions/anvilwell_decisions/samples/queues.py
@@ -23,9 +23,9 @@
     """Waiting samples of one group; ``home`` has its prefix cached."""
 
     __slots__ = (
-        "home",
         "key",
         "max_tokens",
+        "prefix_replica",
         "prompt",
         "scouted",
         "waiting",
@@ -35,7 +35,7 @@
         self.prompt = prompt
         self.max_tokens = max_tokens
         self.waiting = collections.deque()
-        self.home = None
+        self.prefix_replica = None
         self.key = None
         self.scouted = False
 
@@ -56,8 +56,8 @@
         self.needed_step = 0
         self.trainer_version = 0
         self.trainer_waits = False
-        self.training = training.Training()
-        self.lengths = lengths.Lengths()
+        self.training = training.TrainingTime()
+        self.lengths = lengths.LengthPredictor()
         self._longest_first = longest_first
         self._groups_by_id = {}
         self._order = sortedcontainers.SortedList()
@@ -74,7 +74,7 @@
         group.waiting.append(sample)
         self.waiting += 1
         if group.key is None:
-            self._file(group_id, group)
+            self._insert(group_id, group)
 
     def head_step(self):
         """Return the step of the first waiting sample."""
@@ -84,16 +84,16 @@
         """Return whether the trainer does not need the first sample yet."""
         return self.head_step() > self.needed_step
 
-    def home(self):
+    def prefix_replica(self):
         """Return the replica that has the first group's prefix."""
-        return self._groups_by_id[self._order[0][-1]].home
+        return self._groups_by_id[self._order[0][-1]].prefix_replica
 
     def take(self, replica):
         """Return the first `Pending` and give it to `replica`."""
         group_id = self._order[0][-1]
         group = self._groups_by_id[group_id]
         sample = group.waiting.popleft()
-        group.home = replica
+        group.prefix_replica = replica
         self.waiting -= 1
         predicted = self._predict(group)
         if not group.waiting:
@@ -101,7 +101,7 @@
             group.key = None
         elif not group.scouted and not self.lengths.is_known(group.prompt):
             group.scouted = self._scouts
-            self._refile(group_id, group)
+            self._reposition(group_id, group)
         return Pending(sample, group.prompt, group.max_tokens, predicted)
 
     def remove(self, sample):
@@ -122,7 +122,7 @@
         if group is None:
             return
         self.lengths.observe(group.prompt, tokens)
-        self._refile(group_id, group)
+        self._reposition(group_id, group)
 
     def progress(self, sample, tokens):
         """Take the length so far of a running sample; order anew."""
@@ -131,7 +131,7 @@
         if group is not None and self.lengths.progress(
             group.prompt, tokens, group.max_tokens
         ):
-            self._refile(group_id, group)
+            self._reposition(group_id, group)
 
     def forget_step(self, step):
         """Drop what is kept of a whole step."""
@@ -153,12 +153,12 @@
             return -group.max_tokens
         return -self._predict(group)
 
-    def _refile(self, group_id, group):
+    def _reposition(self, group_id, group):
         if group.key is not None:
             self._order.remove(group.key)
-            self._file(group_id, group)
+            self._insert(group_id, group)
 
-    def _file(self, group_id, group):
+    def _insert(self, group_id, group):
         self._arrivals += 1
         rank = self._rank(group) if self._longest_first else 0
         group.key = (group_id[0], rank, self._arrivals, group_id)
--- a/packages/decisions/anvilwell_decisions/samples/replicas.py
+++ b/packages/decisions/anvilwell_decisions/samples/replicas.py
@@ -33,23 +33,23 @@
         replica = self._by_id.setdefault(replica_id, _Replica())
         replica.slots = slots
         replica.version = version
-        self._refile(replica_id, replica)
+        self._update_free(replica_id, replica)
 
     def remove(self, replica_id):
         """Forget a replica; return its attempts."""
         replica = self._by_id.pop(replica_id, None)
         if replica is None:
             return []
-        self._unfile(replica)
+        self._remove_free(replica)
         return sorted(replica.attempts)
 
-    def set_oldest(self, version):
+    def set_oldest_version(self, version):
         """Leave out replicas with a version before `version`."""
         if version == self._oldest:
             return
         self._oldest = version
         for replica_id, replica in self._by_id.items():
-            self._refile(replica_id, replica)
+            self._update_free(replica_id, replica)
 
     def choose(self, oldest, preferred=None):
         """Return a replica with a free slot, or None.
@@ -64,9 +64,9 @@
         replica = self._by_id.get(preferred)
         if replica is not None and replica.key and replica.version >= oldest:
             return preferred
-        return self.choose_besides((), oldest)
+        return self.choose_except((), oldest)
 
-    def choose_besides(self, avoided, oldest):
+    def choose_except(self, avoided, oldest):
         """Return the least loaded replica not in `avoided`, or None."""
         others = (
             name
@@ -79,22 +79,22 @@
         """Put `attempt` into a slot; return the replica's version."""
         replica = self._by_id[replica_id]
         replica.attempts.add(attempt)
-        self._refile(replica_id, replica)
+        self._update_free(replica_id, replica)
         return replica.version
 
     def release(self, replica_id, attempt):
         """Free the slot of `attempt`."""
         replica = self._by_id[replica_id]
         replica.attempts.discard(attempt)
-        self._refile(replica_id, replica)
+        self._update_free(replica_id, replica)
 
-    def _unfile(self, replica):
+    def _remove_free(self, replica):
         if replica.key is not None:
             self._free.remove(replica.key)
             replica.key = None
 
-    def _refile(self, replica_id, replica):
-        self._unfile(replica)
+    def _update_free(self, replica_id, replica):
+        self._remove_free(replica)
         used = len(replica.attempts)
         if used < replica.slots and replica.version >= self._oldest:
             replica.key = (used / replica.slots, replica_id)
--- a/packages/decisions/anvilwell_decisions/samples/retention.py
+++ b/packages/decisions/anvilwell_decisions/samples/retention.py
@@ -54,14 +54,14 @@
         """
         self.through = through
         gone = None
-        while self._chunks and self._is_done_with(self._chunks[0], first):
+        while self._chunks and self._is_obsolete(self._chunks[0], first):
             gone = self._chunks.popleft()
         if gone is None:
             return []
         base = records.Base(gone.number + 1, gone.end, through, version)
         return [actions.Trim(base)]
 
-    def _is_done_with(self, chunk, first):
+    def _is_obsolete(self, chunk, first):
         # The last chunk stays: the next number follows from it.
         is_last = len(self._chunks) == 1
         is_needed = chunk.end > first or chunk.step > self.through
--- a/packages/decisions/anvilwell_decisions/samples/schedule.py
+++ b/packages/decisions/anvilwell_decisions/samples/schedule.py
@@ -101,8 +101,8 @@
         self.bound = bound
         self._policy = self._policy.prefer(preference)
         for run in self._queues_by_run:
-            self._refile(run)
-        self._leave_out_old()
+            self._update_ready(run)
+        self._exclude_old_replicas()
 
     def remove_replica(self, replica_id):
         """Forget a replica; return the samples it was running."""
@@ -117,9 +117,9 @@
                 scouts=self._policy.scouts,
             )
         self._fairness.set_weight(run, weight)
-        self._refile(run)
+        self._update_ready(run)
 
-    def need(self, run, step, trainer_version, *, waiting):
+    def set_needed_step(self, run, step, trainer_version, *, waiting):
         """Note which step the trainer needs, and the version it has.
 
         ``waiting`` says that the trainer waits for the step now, so that
@@ -129,8 +129,8 @@
         queue.needed_step = step
         queue.trainer_version = trainer_version
         queue.trainer_waits = waiting
-        self._refile(run)
-        self._leave_out_old()
+        self._update_ready(run)
+        self._exclude_old_replicas()
 
     def training(self, run):
         """Return how long the trainer of `run` trains."""
@@ -140,7 +140,7 @@
         """Return whether the trainer of `run` was last seen waiting."""
         return self._queues_by_run[run].trainer_waits
 
-    def expect_step(self, run, step, samples):
+    def set_step_size(self, run, step, samples):
         """Note how many samples `step` has."""
         self._sizes_by_step[run, step] = samples
         self._early_by_step.setdefault((run, step), 0)
@@ -149,14 +149,14 @@
         """Let `sample` of `group` wait (again)."""
         queue = self._queues_by_run[sample.run]
         queue.add(sample, group.prompt, group.max_tokens)
-        self._refile(sample.run)
+        self._update_ready(sample.run)
 
     def remove_step(self, run, step):
         """Forget a whole step."""
         self._queues_by_run[run].forget_step(step)
         self._sizes_by_step.pop((run, step), None)
         self._early_by_step.pop((run, step), None)
-        self._refile(run)
+        self._update_ready(run)
 
     def assign(self):
         """Return a `Start` for each sample that can run now."""
@@ -168,12 +168,12 @@
             start = self._start(run)
             if start is None:
                 # What is free is too old for this run, maybe not for others.
-                self._fairness.file(run, False, early=False)
+                self._fairness.set_ready(run, False, early=False)
                 blocked.append(run)
             else:
                 starts.append(start)
         for run in blocked:
-            self._refile(run)
+            self._update_ready(run)
         return starts
 
     def hedge(self, slow):
@@ -193,7 +193,7 @@
             pending = running.pending
             run = pending.sample.run
             oldest = self._oldest_start(self._queues_by_run[run])
-            replica_id = self.replicas.choose_besides(slow, oldest)
+            replica_id = self.replicas.choose_except(slow, oldest)
             if replica_id is None:
                 break
             start = self._launch(run, pending, replica_id, running.early)
@@ -229,18 +229,18 @@
     def settle(self, sample):
         """Return a `Cancel` for each attempt of a settled sample."""
         self._queues_by_run[sample.run].remove(sample)
-        self._refile(sample.run)
+        self._update_ready(sample.run)
         attempts = self._attempts_by_sample.get(sample, ())
         return [self._cancel(a, "settled") for a in sorted(attempts)]
 
-    def doomed(self):
+    def over_age_cancels(self):
         """Return a `Cancel` for each attempt that will be too old."""
         if not self._policy.cancel_doomed:
             return []
         return [
             self._cancel(attempt, "over-age")
             for attempt, running in self._running_by_attempt.items()
-            if staleness.is_doomed(
+            if staleness.will_be_over_age(
                 running.oldest, self._expected(running), self.bound
             )
         ]
@@ -257,16 +257,16 @@
         running = self._running_by_attempt[attempt]
         return Cancel(running.pending.sample, running.replica, attempt, reason)
 
-    def _refile(self, run):
+    def _update_ready(self, run):
         queue = self._queues_by_run[run]
         ready = queue.waiting and self._may_begin(run, queue)
-        self._fairness.file(run, ready, early=ready and queue.is_early())
+        self._fairness.set_ready(run, ready, early=ready and queue.is_early())
 
     def _may_begin(self, run, queue):
         if not queue.is_early():
             return True
         delay_s = self._policy.early_delay * queue.training.usual_s
-        if self.now < queue.training.since + delay_s:
+        if self.now < queue.training.begun_at + delay_s:
             return False
         step = (run, queue.head_step())
         allowed = self._policy.early_share * self._sizes_by_step[step]
@@ -275,8 +275,12 @@
     def _start(self, run):
         queue = self._queues_by_run[run]
         early = queue.is_early()
-        home = queue.home() if self._policy.affinity else None
-        replica_id = self.replicas.choose(self._oldest_start(queue), home)
+        prefix_replica = (
+            queue.prefix_replica() if self._policy.affinity else None
+        )
+        replica_id = self.replicas.choose(
+            self._oldest_start(queue), prefix_replica
+        )
         if replica_id is None:
             return None
         return self._launch(run, queue.take(replica_id), replica_id, early)
@@ -284,9 +288,9 @@
     def _oldest_start(self, queue):
         return staleness.oldest_start(queue.trainer_version, self.bound)
 
-    def _leave_out_old(self):
+    def _exclude_old_replicas(self):
         oldest = map(self._oldest_start, self._queues_by_run.values())
-        self.replicas.set_oldest(min(oldest, default=0))
+        self.replicas.set_oldest_version(min(oldest, default=0))
 
     def _launch(self, run, pending, replica_id, early):
         self._attempts += 1
@@ -296,13 +300,13 @@
         sample = pending.sample
         self._attempts_by_sample.setdefault(sample, set()).add(self._attempts)
         self._early_by_step[run, sample.step] += early
-        self._fairness.hold(run, 1)
-        self._refile(run)
+        self._fairness.add_slots(run, 1)
+        self._update_ready(run)
         return Start(sample, replica_id, self._attempts, pending.predicted)
 
     def _forget(self, attempt):
         running = self._running_by_attempt.pop(attempt)
-        self._fairness.hold(running.pending.sample.run, -1)
+        self._fairness.add_slots(running.pending.sample.run, -1)
         attempts = self._attempts_by_sample[running.pending.sample]
         attempts.discard(attempt)
         if not attempts:
--- a/packages/decisions/anvilwell_decisions/samples/speeds.py
+++ b/packages/decisions/anvilwell_decisions/samples/speeds.py
@@ -8,7 +8,7 @@
 SLOW_SHARE = 0.5
 
 
-class Speeds:
+class SlowReplicaDetector:
     """Compares the replicas' streams, one window after another.
 
     A replica is slow once its streams made less than `SLOW_SHARE` of the
@@ -21,7 +21,7 @@
         self._tokens_by_attempt = {}
         self._slow_windows_by_id = {}
 
-    def look(self, tokens_by_attempt, replicas_by_attempt, now):
+    def update(self, tokens_by_attempt, replicas_by_attempt, now):
         """Take all streams' tokens so far; return the slow replicas.
 
         Parameters
--- a/packages/decisions/anvilwell_decisions/samples/staleness.py
+++ b/packages/decisions/anvilwell_decisions/samples/staleness.py
@@ -19,7 +19,7 @@
     return trainer_version - bound
 
 
-def is_doomed(oldest, expected_version, bound):
+def will_be_over_age(oldest, expected_version, bound):
     """Return whether work will be too old when it can be delivered.
 
     Parameters
--- a/packages/decisions/anvilwell_decisions/samples/training.py
+++ b/packages/decisions/anvilwell_decisions/samples/training.py
@@ -2,10 +2,10 @@
 
 import collections
 
-KEPT = 2
+DURATIONS_KEPT = 2
 
 
-class Training:
+class TrainingTime:
     """Learns the time between a whole step and the next collect.
 
     The least of the last two counts, so that a trainer that was away
@@ -13,9 +13,9 @@
     """
 
     def __init__(self):
-        self.since = 0.0
+        self.begun_at = 0.0
         self._is_on = False
-        self._lasted_s = collections.deque(maxlen=KEPT)
+        self._lasted_s = collections.deque(maxlen=DURATIONS_KEPT)
 
     @property
     def usual_s(self):
@@ -24,11 +24,11 @@
 
     def begin(self, now):
         """Note that the trainer has a step whole."""
-        self.since = now
+        self.begun_at = now
         self._is_on = True
 
     def end(self, now):
         """Note that the trainer collects again."""
         if self._is_on:
-            self._lasted_s.append(now - self.since)
+            self._lasted_s.append(now - self.begun_at)
             self._is_on = False
--- a/packages/decisions/anvilwell_decisions/samples/versions.py
+++ b/packages/decisions/anvilwell_decisions/samples/versions.py
@@ -5,7 +5,7 @@
 from anvilwell_kernel import exceptions
 
 MAX_DIGITS = 18
-SHOWN = 40
+SHOWN_CHARS = 40
 
 
 class TokenRun(typing.NamedTuple):
@@ -28,7 +28,7 @@
     short = len(version) <= MAX_DIGITS
     if not (short and version.isascii() and version.isdecimal()):
         raise exceptions.BadRequest(
-            f"version {version[:SHOWN]!r} is not a number of at most "
+            f"version {version[:SHOWN_CHARS]!r} is not a number of at most "
             f"{MAX_DIGITS} digits; publish versions as whole numbers that "
             "grow"
         )
--- a/packages/decisions/tests/samples/path_world.py
+++ b/packages/decisions/tests/samples/path_world.py
@@ -56,24 +56,24 @@
     def __init__(self, world, name):
         self.world = world
         self.name = name
-        self.life = 0
+        self.incarnation = 0
         self.up_at = 0.0
         self.paused_until = 0.0
         self.drops = 0
 
     def crash(self):
-        self.life += 1
+        self.incarnation += 1
         self.up_at = self.world.now + RESTART_S
 
     def pause(self):
         self.paused_until = self.world.now + PAUSE_S
 
-    def deliver(self, life, function, args):
-        if life != self.life or self.world.now < self.up_at:
+    def deliver(self, incarnation, function, args):
+        if incarnation != self.incarnation or self.world.now < self.up_at:
             return
         if self.world.now < self.paused_until:
             wait = self.paused_until - self.world.now
-            self.world.after(wait, self.deliver, life, function, args)
+            self.world.after(wait, self.deliver, incarnation, function, args)
             return
         function(*args)
 
@@ -93,8 +93,8 @@
         )
         self.coordinator.replica("e", 8, world.engine_version)
         chunks = dict(world.log)
-        self.carry(self.coordinator.open_run("r", 1.0, chunks, world.now))
-        self.carry(self.coordinator.published(world.engine_version))
+        self.perform(self.coordinator.open_run("r", 1.0, chunks, world.now))
+        self.perform(self.coordinator.published(world.engine_version))
         self.tick()
 
     @property
@@ -102,13 +102,13 @@
         return self.coordinator.ledgers_by_run["r"]
 
     def tick(self):
-        self.carry(self.coordinator.tick(self.world.now))
-        self.world.to(self, TICK_S, self.tick)
+        self.perform(self.coordinator.tick(self.world.now))
+        self.world.send(self, TICK_S, self.tick)
 
-    def feed(self, event, *args):
-        self.carry(self.coordinator.on_ledger("r", event, *args))
+    def pass_to_ledger(self, event, *args):
+        self.perform(self.coordinator.on_ledger("r", event, *args))
 
-    def carry(self, addressed):
+    def perform(self, addressed):
         for _, action in addressed:
             handler = getattr(self, f"on_{type(action).__name__}", None)
             if handler:
@@ -117,9 +117,9 @@
     def on_WriteChunk(self, chunk):
         if any(hasattr(entry, "digest") for entry in chunk.entries):
             self.world.reach("record")
-        self.world.to(self.world.keyvalue, DELAY_S, self.write, chunk)
+        self.world.send(self.world.keyvalue, DELAY_S, self.write, chunk)
         timeout = (self.write_timeout, chunk.number)
-        self.world.to(self, TIMEOUT_S, *timeout)
+        self.world.send(self, TIMEOUT_S, *timeout)
 
     def on_StepDown(self, action):
         self.world.after(RESTART_S, self.world.take_over, self)
@@ -129,32 +129,36 @@
         if self.world.keyvalue.drops:
             self.world.keyvalue.drops -= 1
             return
-        self.world.to(self, DELAY_S, self.written, chunk, there)
+        self.world.send(self, DELAY_S, self.written, chunk, there)
 
     def written(self, chunk, there):
         if there == chunk.entries:
-            self.feed(self.ledger.written, chunk.number, self.world.now)
+            self.pass_to_ledger(
+                self.ledger.written, chunk.number, self.world.now
+            )
         else:
             event = self.ledger.write_conflict
-            self.feed(event, chunk.number, there, self.world.now)
+            self.pass_to_ledger(event, chunk.number, there, self.world.now)
 
     def write_timeout(self, number):
         self.ledger.write_unknown(self.world.now)
 
     def on_Score(self, action):
         self.world.reach("score")
-        self.world.to(self.world.scorer, DELAY_S, self.score, action)
-        self.world.to(self, TIMEOUT_S, self.not_done, action)
+        self.world.send(self.world.scorer, DELAY_S, self.score, action)
+        self.world.send(self, TIMEOUT_S, self.not_done, action)
 
     def score(self, action):
         if self.world.scorer.drops:
             self.world.scorer.drops -= 1
             return
         answer = (action.sample, action.digest, 0.5)
-        self.world.to(self, DELAY_S, self.scored, *answer)
+        self.world.send(self, DELAY_S, self.scored, *answer)
 
     def scored(self, sample, digest, value):
-        self.feed(self.ledger.scored, sample, digest, value, self.world.now)
+        self.pass_to_ledger(
+            self.ledger.scored, sample, digest, value, self.world.now
+        )
 
     def not_done(self, action):
         ledger, now = self.ledger, self.world.now
@@ -165,36 +169,38 @@
     def on_Replicate(self, action):
         body = self.bodies[action.digest]
         keep = (self.keep, action, body)
-        self.world.to(self.world.second, DELAY_S, *keep)
-        self.world.to(self, TIMEOUT_S, self.not_done, action)
+        self.world.send(self.world.second, DELAY_S, *keep)
+        self.world.send(self, TIMEOUT_S, self.not_done, action)
 
     def keep(self, action, body):
         self.world.second_bodies[action.digest] = body
         if self.world.second.drops:
             self.world.second.drops -= 1
             return
-        self.world.to(self, DELAY_S, self.kept, action)
+        self.world.send(self, DELAY_S, self.kept, action)
 
     def kept(self, action):
         holders = (self.name, "second")
         event = self.ledger.replicated
-        self.feed(event, action.sample, action.digest, holders, self.world.now)
+        self.pass_to_ledger(
+            event, action.sample, action.digest, holders, self.world.now
+        )
 
     def on_Fetch(self, action):
-        self.world.to(self.world.second, DELAY_S, self.fetch, action)
+        self.world.send(self.world.second, DELAY_S, self.fetch, action)
         retry = (self.fetch_again, action)
-        self.world.to(self, TIMEOUT_S, *retry)
+        self.world.send(self, TIMEOUT_S, *retry)
 
     def fetch(self, action):
         body = self.world.second_bodies.get(action.choice.digest)
-        self.world.to(self, DELAY_S, self.fetched, action, body)
+        self.world.send(self, DELAY_S, self.fetched, action, body)
 
     def fetched(self, action, body):
         if body is None:
-            self.feed(self.ledger.bytes_lost, action.position)
+            self.pass_to_ledger(self.ledger.bytes_lost, action.position)
             return
         self.bodies[action.choice.digest] = body
-        self.feed(self.ledger.bytes_found, action.position)
+        self.pass_to_ledger(self.ledger.bytes_found, action.position)
 
     def fetch_again(self, action):
         if self.ledger.delivery.is_fetching(action.position):
@@ -202,38 +208,38 @@
 
     def on_Start(self, start):
         self.world.reach("start")
-        begin = (self.world.begin, self, start, self.life)
-        self.world.to(self.world.engine, DELAY_S, *begin)
+        begin = (self.world.begin, self, start, self.incarnation)
+        self.world.send(self.world.engine, DELAY_S, *begin)
         engine = self.world.engine
         is_up = self.world.now >= engine.up_at
-        self.attempts[start.attempt] = engine.life if is_up else None
-        self.world.to(self, TICK_S, self.watch, start.attempt)
+        self.attempts[start.attempt] = engine.incarnation if is_up else None
+        self.world.send(self, TICK_S, self.watch, start.attempt)
 
     def watch(self, attempt):
         """Fail an attempt once its engine has crashed meanwhile."""
         if attempt not in self.attempts:
             return
-        if self.attempts[attempt] != self.world.engine.life:
+        if self.attempts[attempt] != self.world.engine.incarnation:
             del self.attempts[attempt]
-            self.carry(self.coordinator.failed(attempt, self.world.now))
+            self.perform(self.coordinator.failed(attempt, self.world.now))
             return
-        self.world.to(self, TICK_S, self.watch, attempt)
+        self.world.send(self, TICK_S, self.watch, attempt)
 
     def ended(self, attempt, result, body):
         self.attempts.pop(attempt, None)
         self.bodies[result.digest] = body
         self.world.reach("choose")
-        self.carry(self.coordinator.result(attempt, result, self.world.now))
+        self.perform(self.coordinator.result(attempt, result, self.world.now))
 
     def lost(self, attempt):
         self.attempts.pop(attempt, None)
-        self.carry(self.coordinator.failed(attempt, self.world.now))
+        self.perform(self.coordinator.failed(attempt, self.world.now))
 
     def collect(self, cursor):
         if self.checks_lease and self.world.now > self.lease_until:
             raise exceptions.Fenced("the lease has lapsed")
         batch = self.coordinator.collect("r", cursor, 9, self.world.now)
-        self.carry(batch.actions)
+        self.perform(batch.actions)
         rows = [
             (position, choice, self.bodies[choice.digest])
             for position, choice in zip(
@@ -243,7 +249,7 @@
         return rows, batch.next_cursor, batch.steps_whole
 
 
-class Saved(typing.NamedTuple):
+class TrainerState(typing.NamedTuple):
     """What a trainer finds again after a crash."""
 
     cursor: int
@@ -257,7 +263,7 @@
 
     def __init__(self, world):
         super().__init__(world, "trainer")
-        self.saved = Saved(0, (), 1, 1)
+        self.saved = TrainerState(0, (), 1, 1)
         self.is_done = False
         self.turn = 0
         self.restart()
@@ -268,50 +274,50 @@
 
     def restart(self):
         self.state = self.saved
-        self.asked = 0
+        self.call_number = 0
         self.todo = collections.deque(
             [("submit", 1), ("submit", 2), ("version", self.state.version)]
         )
-        self.world.to(self, DELAY_S, self.ask)
+        self.world.send(self, DELAY_S, self.send_next)
 
-    def ask(self):
+    def send_next(self):
         """Ask the next thing; ask again if no answer comes."""
         if self.is_done:
             return
-        self.asked += 1
+        self.call_number += 1
         call = self.todo[0] if self.todo else ("collect", self.state.cursor)
         if call[0] == "collect" and call[1]:
             self.world.reach("acknowledge")
         if call[0] == "submit":
             self.world.reach("submit")
         entry = self.world.entries[self.turn % len(self.world.entries)]
-        self.world.to(
+        self.world.send(
             entry,
             DELAY_S,
             self.world.serve,
             entry,
-            self.asked,
-            self.life,
+            self.call_number,
+            self.incarnation,
             call,
         )
-        self.world.to(self, TIMEOUT_S, self.give_up, self.asked)
+        self.world.send(self, TIMEOUT_S, self.time_out, self.call_number)
 
-    def give_up(self, number):
-        if number == self.asked:
+    def time_out(self, number):
+        if number == self.call_number:
             self.turn += 1
-            self.ask()
+            self.send_next()
 
-    def answered(self, number, call, answer):
-        if number != self.asked:
+    def receive(self, number, call, answer):
+        if number != self.call_number:
             return  # of a call that was given up
-        self.asked += 1
+        self.call_number += 1
         if answer is None:
             self.turn += 1
         if answer is not None and call[0] != "collect":
             self.todo.popleft()
         elif answer is not None:
             self.take(*answer)
-        self.world.to(self, TICK_S, self.ask)
+        self.world.send(self, TICK_S, self.send_next)
 
     def take(self, rows, cursor, whole):
         ages = [
@@ -350,8 +356,8 @@
         self.scorer = Process(self, "scorer")
         self.second = Process(self, "second")
         self.keyvalue = Process(self, "keyvalue")
-        self.lives = itertools.count(1)
-        self.entry = Entry(self, next(self.lives))
+        self.incarnations = itertools.count(1)
+        self.entry = Entry(self, next(self.incarnations))
         self.entries = [self.entry]
         self.trainer = Trainer(self)
 
@@ -359,9 +365,11 @@
         item = (self.now + delay_s, next(self.numbers), function, args)
         heapq.heappush(self.queue, item)
 
-    def to(self, process, delay_s, function, *args):
+    def send(self, process, delay_s, function, *args):
         """Send a message: `process` runs ``function(*args)``."""
-        self.after(delay_s, process.deliver, process.life, function, args)
+        self.after(
+            delay_s, process.deliver, process.incarnation, function, args
+        )
 
     def run(self):
         while self.queue and not self.trainer.is_done and self.now < END_S:
@@ -375,9 +383,9 @@
         self.points = [point for point in self.points if point not in due]
         for point in due:
             # After what is being done, as the process does it.
-            self.after(0.0, self.hit, point)
+            self.after(0.0, self.inject, point)
 
-    def hit(self, point):
+    def inject(self, point):
         process = getattr(self, point.process)
         if point.kind == "lost":
             process.drops += 1
@@ -393,26 +401,28 @@
 
     def take_over(self, entry):
         if self.entry is entry:
-            self.entry = Entry(self, next(self.lives))
+            self.entry = Entry(self, next(self.incarnations))
             self.entries.append(self.entry)
-            self.entries = [e for e in self.entries if not e.life]
+            self.entries = [e for e in self.entries if not e.incarnation]
 
     def publish(self, version):
         self.engine_version = version
         entry = self.entry
-        self.to(entry, DELAY_S, self.tell, entry, version)
+        self.send(entry, DELAY_S, self.announce_version, entry, version)
 
-    def tell(self, entry, version):
-        entry.carry(entry.coordinator.published(version))
-        entry.carry(entry.coordinator.replica("e", 8, version))
+    def announce_version(self, entry, version):
+        entry.perform(entry.coordinator.published(version))
+        entry.perform(entry.coordinator.replica("e", 8, version))
 
-    def begin(self, entry, start, life):
+    def begin(self, entry, start, incarnation):
         """Let the engine run an attempt: two halves, each some tokens."""
         versions = [self.engine_version]
         self.reach("token")
-        self.to(self.engine, 0.2, self.finish, entry, start, life, versions)
+        self.send(
+            self.engine, 0.2, self.finish, entry, start, incarnation, versions
+        )
 
-    def finish(self, entry, start, life, versions):
+    def finish(self, entry, start, incarnation, versions):
         if versions[-1] != self.engine_version:
             versions.append(self.engine_version)
         names = tuple(map(str, versions))
@@ -421,13 +431,13 @@
         self.reach("end")
         if self.engine.drops:
             self.engine.drops -= 1
-            self.to(entry, TIMEOUT_S, entry.lost, start.attempt)
+            self.send(entry, TIMEOUT_S, entry.lost, start.attempt)
             return
         result = ledgers.Result(digest, 2, names)
         body = ("whole", start.sample, digest)
-        self.to(entry, DELAY_S, entry.ended, start.attempt, result, body)
+        self.send(entry, DELAY_S, entry.ended, start.attempt, result, body)
 
-    def serve(self, entry, number, life, call):
+    def serve(self, entry, number, incarnation, call):
         kind, argument = call
         try:
             answer = self.answer(entry, kind, argument)
@@ -438,19 +448,19 @@
         if entry.drops:
             entry.drops -= 1
             return
-        if life == self.trainer.life:
-            reply = (self.trainer.answered, number, call, answer)
-            self.to(self.trainer, DELAY_S, *reply)
+        if incarnation == self.trainer.incarnation:
+            reply = (self.trainer.receive, number, call, answer)
+            self.send(self.trainer, DELAY_S, *reply)
 
     def answer(self, entry, kind, argument):
         if kind == "collect":
             return entry.collect(argument)
         if kind == "submit":
             step = make_step(argument)
-            entry.carry(entry.coordinator.submit(step, self.now))
+            entry.perform(entry.coordinator.submit(step, self.now))
             return entry.ledger.has_step(argument) or None
         found = entry.coordinator.trainer_version("r", str(argument), self.now)
-        entry.carry(found)
+        entry.perform(found)
         return entry.ledger.recorded_version == str(argument) or None
 
 
@@ -460,7 +470,7 @@
     return identity.Step("r", number, "lm", (group,))
 
 
-def judge(world):
+def find_problems(world):
     """Return what is wrong with how `world` ended, from the records."""
     problems = []
     if not world.trainer.is_done:
--- a/packages/decisions/tests/samples/test_coordinator.py
+++ b/packages/decisions/tests/samples/test_coordinator.py
@@ -21,9 +21,9 @@
         )
         self.started = []
         self.coordinator.replica("e", 8, 1)
-        self.carry(self.coordinator.open_run("r", 1.0, {}, 0.0))
+        self.perform(self.coordinator.open_run("r", 1.0, {}, 0.0))
 
-    def carry(self, addressed):
+    def perform(self, addressed):
         todo = list(addressed)
         while todo:
             run, action = todo.pop(0)
@@ -42,18 +42,18 @@
 
     def submit(self, number):
         step = identity.Step("r", number, "lm", (GROUP,))
-        self.carry(self.coordinator.submit(step, 0.0))
+        self.perform(self.coordinator.submit(step, 0.0))
 
     def end_all(self):
         starts, self.started = self.started, []
         for start in starts:
             result = ledgers.Result(str(start.attempt), 4, ("1",))
-            self.carry(self.coordinator.result(start.attempt, result, 0.0))
-        self.carry(self.coordinator.tick(9.0))
+            self.perform(self.coordinator.result(start.attempt, result, 0.0))
+        self.perform(self.coordinator.tick(9.0))
 
     def collect(self, cursor):
         batch = self.coordinator.collect("r", cursor, 9, 9.0, waiting=True)
-        self.carry(batch.actions)
+        self.perform(batch.actions)
         return batch.next_cursor
 
     def steps_started(self):
@@ -96,10 +96,10 @@
     service.submit(2)
     service.end_all()
     configured = service.coordinator.configure(0, 0.0, {"r": 2.0})
-    service.carry(configured)
+    service.perform(configured)
     assert service.steps_started() == [2, 2]
     version = service.coordinator.trainer_version("r", "2", 9.0)
-    service.carry(version)
+    service.perform(version)
     batch = service.coordinator.collect("r", 0, 9, 9.0)
     assert batch.choices == ()
 
@@ -111,14 +111,14 @@
     coordinator.replica("e", 1, 1)
     coordinator.replica("f", 1, 1)
     service.submit(1)
-    service.carry(coordinator.replica("f", 2, 1))
+    service.perform(coordinator.replica("f", 2, 1))
     assert [start.replica for start in service.started] == ["e", "f"]
     for at in (0.0, 10.0, 20.0):
         tokens = {
             start.attempt: at if start.replica == "f" else 0
             for start in service.started
         }
-        service.carry(coordinator.progress(tokens, at))
+        service.perform(coordinator.progress(tokens, at))
     slow, _, second = service.started
     assert (second.sample, second.replica) == (slow.sample, "f")
     return service, slow, second
@@ -130,9 +130,9 @@
     failed, other = slow, second
     if failing == "second":
         failed, other = second, slow
-    service.carry(service.coordinator.failed(failed.attempt, 30.0))
+    service.perform(service.coordinator.failed(failed.attempt, 30.0))
     assert len(service.started) == 3
-    service.carry(service.coordinator.failed(other.attempt, 30.0))
+    service.perform(service.coordinator.failed(other.attempt, 30.0))
     assert service.started[3].sample == slow.sample
     assert len(service.started) == 4
 
@@ -148,7 +148,7 @@
 
 def test_a_lost_replica_starts_each_sample_once():
     service, slow, _ = hedge()
-    service.carry(service.coordinator.replica_lost("f", 30.0))
+    service.perform(service.coordinator.replica_lost("f", 30.0))
     again = service.started[3:]
     assert slow.sample not in [start.sample for start in again]
 
--- a/packages/decisions/tests/samples/test_crash_points.py
+++ b/packages/decisions/tests/samples/test_crash_points.py
@@ -21,7 +21,7 @@
     found = collections.defaultdict(list)
     for points in cases:
         world = path_world.World(points).run()
-        for problem in path_world.judge(world):
+        for problem in path_world.find_problems(world):
             found[problem].append(points)
     return found
 
@@ -49,13 +49,13 @@
 def is_seen(points):
     """Return whether a planted fault shows, if only by a broken log."""
     try:
-        return bool(path_world.judge(path_world.World(points).run()))
+        return bool(path_world.find_problems(path_world.World(points).run()))
     except KeyError:
         return True
 
 
 def _forget_fencing(monkeypatch):
-    mine = chunks.Landing.MINE
+    mine = chunks.ChunkAuthor.MINE
     monkeypatch.setattr(chunks.ChunkLog, "compare", lambda *_: mine)
     monkeypatch.setattr(path_world.Entry, "checks_lease", False)
 
@@ -65,7 +65,7 @@
 
 
 def _forget_to_generate_again(monkeypatch):
-    monkeypatch.setattr(coordinator.Coordinator, "_again", lambda *_: [])
+    monkeypatch.setattr(coordinator.Coordinator, "_requeue", lambda *_: [])
 
 
 @pytest.mark.parametrize(
--- a/packages/decisions/tests/samples/test_ledger_machine.py
+++ b/packages/decisions/tests/samples/test_ledger_machine.py
@@ -39,12 +39,14 @@
             "r", f"e{self.fencing}", self.fencing, bound=BOUND
         )
         self.waiting = []
-        self.carry(self.ledger, self.ledger.recover(dict(self.log), self.now))
+        self.perform(
+            self.ledger, self.ledger.recover(dict(self.log), self.now)
+        )
 
     @stateful.rule()
     def old_holder_writes(self):
         if self.old is not None:
-            self.carry(self.old, self.old.tick(self.now + 100))
+            self.perform(self.old, self.old.tick(self.now + 100))
 
     @stateful.rule()
     def submit(self):
@@ -52,7 +54,7 @@
             self.steps += 1
             group = identity.Group("g", "p", SAMPLES, 8)
             step = identity.Step("r", self.steps, "lm", (group,))
-            self.carry(self.ledger, self.ledger.submit(step, self.now))
+            self.perform(self.ledger, self.ledger.submit(step, self.now))
 
     @stateful.rule(
         data=st.data(),
@@ -69,39 +71,39 @@
         version = str(max(1, self.version - age))
         outcome = ledgers.Result(f"d{self.results}", 4, (version,))
         found = self.ledger.result(sample, outcome, self.now)
-        self.carry(self.ledger, found)
+        self.perform(self.ledger, found)
 
     @stateful.rule(well=st.booleans())
     def copied(self, well):
         """The copies under way end, well or badly; time passes."""
-        asks, self.waiting = self.waiting, []
-        for ask in asks:
+        copies, self.waiting = self.waiting, []
+        for copy in copies:
             if not well:
-                self.ledger.not_done(ask.sample, ask.digest, self.now)
+                self.ledger.not_done(copy.sample, copy.digest, self.now)
                 continue
             holders = ("a", "b")
             found = self.ledger.replicated(
-                ask.sample, ask.digest, holders, self.now
+                copy.sample, copy.digest, holders, self.now
             )
-            self.carry(self.ledger, found)
+            self.perform(self.ledger, found)
         self.time_passes()
 
     @stateful.rule()
     def time_passes(self):
         self.now += 1.0
-        self.carry(self.ledger, self.ledger.tick(self.now))
+        self.perform(self.ledger, self.ledger.tick(self.now))
 
     @stateful.rule()
     def new_version(self):
         self.version += 1
         found = self.ledger.trainer_version(str(self.version), self.now)
-        self.carry(self.ledger, found)
+        self.perform(self.ledger, found)
 
     @stateful.rule(limit=st.integers(1, 4), answer=st.booleans())
     def collect(self, limit, answer):
         """The trainer collects at its cursor; the answer may be lost."""
         batch = self.ledger.collect(self.cursor, limit, self.now)
-        self.carry(self.ledger, batch.actions)
+        self.perform(self.ledger, batch.actions)
         for position, choice in zip(
             batch.positions, batch.choices, strict=True
         ):
@@ -116,7 +118,7 @@
         if answer:
             self.cursor = batch.next_cursor
 
-    def carry(self, ledger, found):
+    def perform(self, ledger, found):
         """Carry actions out; every write and fetch succeeds at once."""
         todo = list(found)
         while todo:
--- a/packages/decisions/tests/samples/test_schedule.py
+++ b/packages/decisions/tests/samples/test_schedule.py
@@ -18,12 +18,12 @@
         schedule.replicas.set(replica_id, slots, 7)
     for run in runs:
         schedule.add_run(run, 1.0)
-        schedule.need(run, 1, 7, waiting=True)
+        schedule.set_needed_step(run, 1, 7, waiting=True)
     return schedule
 
 
 def add(schedule, run="r", step=1, group=GROUP, count=4):
-    schedule.expect_step(run, step, count)
+    schedule.set_step_size(run, step, count)
     for sample in samples(run, step, group.group, count):
         schedule.add(sample, group)
 
@@ -52,7 +52,7 @@
         schedule.ended(start.attempt, tokens)
     add(schedule, step=2, group=short, count=1)
     add(schedule, step=2, group=long, count=1)
-    schedule.need("r", 2, 7, waiting=True)
+    schedule.set_needed_step("r", 2, 7, waiting=True)
     assert [s.sample.group for s in schedule.assign()] == ["l", "s"]
 
 
@@ -103,7 +103,7 @@
     schedule = make(schedules.Policy(early_share=0.5))
     add(schedule, step=2, count=4)
     assert len(schedule.assign()) == 2
-    schedule.need("r", 2, 7, waiting=True)
+    schedule.set_needed_step("r", 2, 7, waiting=True)
     assert len(schedule.assign()) == 2
 
 
@@ -121,10 +121,10 @@
     add(schedule, step=2, count=1)
     schedule.assign()
     schedule.latest = 9
-    (cancel,) = schedule.doomed()
+    (cancel,) = schedule.over_age_cancels()
     assert cancel.sample.step == 2
-    schedule.need("r", 1, 9, waiting=True)
-    assert len(schedule.doomed()) == 2
+    schedule.set_needed_step("r", 1, 9, waiting=True)
+    assert len(schedule.over_age_cancels()) == 2
 
 
 def test_settled_sample_cancels_its_attempts():
@@ -186,7 +186,7 @@
 
 def starts_at(schedule, now):
     schedule.now = now
-    schedule.need("r", 1, 7, waiting=False)
+    schedule.set_needed_step("r", 1, 7, waiting=False)
     return len(schedule.assign())
 
 
@@ -206,13 +206,13 @@
 def test_a_trainer_that_waits_ends_the_delay():
     schedule = early_schedule(0.75)
     schedule.now = 201.0
-    schedule.need("r", 2, 7, waiting=True)
+    schedule.set_needed_step("r", 2, 7, waiting=True)
     assert len(schedule.assign()) == 1
 
 
 def test_replica_too_old_for_the_trainer_gets_no_work():
     schedule = make(bound=2)
-    schedule.need("r", 1, 10, waiting=True)
+    schedule.set_needed_step("r", 1, 10, waiting=True)
     schedule.replicas.set("b", 2, 8)
     add(schedule)
     assert [s.replica for s in schedule.assign()] == ["b", "b"]
@@ -223,7 +223,7 @@
 
 def test_replica_too_old_for_one_run_serves_another():
     schedule = make(bound=2, replicas=[("a", 4)], runs=("ahead", "behind"))
-    schedule.need("ahead", 1, 10, waiting=True)
+    schedule.set_needed_step("ahead", 1, 10, waiting=True)
     add(schedule, run="ahead", count=2)
     add(schedule, run="behind", count=2)
     assert {s.sample.run for s in schedule.assign()} == {"behind"}
--- a/packages/decisions/tests/samples/test_training.py
+++ b/packages/decisions/tests/samples/test_training.py
@@ -4,7 +4,7 @@
 
 
 def follow(*spans):
-    found = training.Training()
+    found = training.TrainingTime()
     for begun, ended in spans:
         found.begin(begun)
         found.end(ended)
@@ -12,7 +12,7 @@
 
 
 def test_nothing_is_known_at_first():
-    found = training.Training()
+    found = training.TrainingTime()
     found.end(5.0)
     assert found.usual_s == 0.0
 
