--- a/packages/outside/anvilwell_outside/__init__.py
+++ b/packages/outside/anvilwell_outside/__init__.py
@@ -1,1 +1,1 @@
-"""Ports to the outside systems and their adapters."""
+"""Ports to outside systems, and the adapters that implement them."""
--- a/packages/outside/anvilwell_outside/adapters/__init__.py
+++ b/packages/outside/anvilwell_outside/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters that speak each outside system's own protocol."""
+"""Adapters that implement the ports over each system's own protocol."""
--- a/packages/outside/anvilwell_outside/adapters/etcd.py
+++ b/packages/outside/anvilwell_outside/adapters/etcd.py
@@ -1,4 +1,4 @@
-"""The key-value port over the etcd v3 JSON gateway."""
+"""Adapter for the key-value service: the JSON gateway of etcd v3."""
 
 from anvilwell_kernel import exceptions
 
@@ -16,14 +16,14 @@
 
 
 class Etcd(http_adapter.HttpAdapter, keyvalue.KeyValue):
-    """Calls the gateway; never repeats a call by itself.
+    """Calls the etcd gateway; never retries a call.
 
     Parameters
     ----------
     client : http_client.HttpClient
         Connections to the gateway.
     meter : meter.CallMeter, optional
-        Counts each call.
+        Counter of the calls; a new one by default.
     """
 
     def __init__(self, client, meter=None):
@@ -32,7 +32,7 @@
 
     @classmethod
     def from_config(cls, config, meter=None):
-        """Build it from section ``[keyvalue]`` of the settings."""
+        """Create the adapter from section ``[keyvalue]`` of the settings."""
         return cls(http_client.HttpClient(*config.endpoints), meter)
 
     def get(self, key, *, purpose, timeout_s):
@@ -42,7 +42,7 @@
         return next(map(etcd_wire.entry, response.get("kvs", [])), None)
 
     def get_prefix(self, prefix, *, purpose, timeout_s):
-        """Return the `Snapshot` of all keys with `prefix`."""
+        """Return a `Snapshot` of all keys that start with `prefix`."""
         body = etcd_wire.prefix_range(prefix)
         response = self._range(body, purpose, timeout_s)
         entries = map(etcd_wire.entry, response.get("kvs", []))
@@ -52,7 +52,10 @@
         )
 
     def swap(self, swaps, *, purpose, timeout_s):
-        """Apply all `swaps` or none if a `Guard` or swap fails."""
+        """Apply all `swaps`, or none if the condition of one does not hold.
+
+        `swaps` may also contain `Guard`s.
+        """
         body = etcd_wire.swap_txn(swaps)
         response = self._call(
             "kv/txn", body, etcd_wire.TXN, purpose, _WRITE, timeout_s
@@ -70,7 +73,7 @@
         )
 
     def grant(self, ttl_s, *, purpose, timeout_s):
-        """Return the id of a new lease of `ttl_s` seconds."""
+        """Create a lease of `ttl_s` seconds and return its id."""
         body = {"TTL": str(ttl_s)}
         response = self._call(
             "lease/grant", body, etcd_wire.LEASE, purpose, _WRITE, timeout_s
@@ -78,7 +81,7 @@
         return response["ID"]
 
     def keep_alive(self, lease, *, purpose, timeout_s):
-        """Renew `lease`; return seconds granted, 0 if it has lapsed."""
+        """Renew `lease`; return its TTL in seconds, 0 if it has expired."""
         response = self._call(
             "lease/keepalive",
             {"ID": str(lease)},
@@ -90,7 +93,7 @@
         return response["result"].get("TTL", 0)
 
     def revoke(self, lease, *, purpose, timeout_s):
-        """End `lease` and delete its keys; harmless if it has lapsed."""
+        """End `lease` and delete its keys; does nothing if it has expired."""
         try:
             self._call(
                 "lease/revoke",
@@ -104,7 +107,7 @@
             return
 
     def watch(self, prefix, from_revision, *, purpose, timeout_s):
-        """Return an `etcd_watch.EtcdWatch` from `from_revision` on."""
+        """Return an `EtcdWatch` of the changes from `from_revision` on."""
         create = {
             **etcd_wire.prefix_range(prefix),
             "start_revision": str(from_revision),
@@ -124,7 +127,7 @@
         if response.status != 200:
             response.close()
             raise exceptions.KeyValueUnavailable(
-                f"watch answered {response.status}"
+                f"the watch request failed with status {response.status}"
             )
         self.meter.count_waiting(purpose, 1)
         return etcd_watch.EtcdWatch(
--- a/packages/outside/anvilwell_outside/adapters/etcd_watch.py
+++ b/packages/outside/anvilwell_outside/adapters/etcd_watch.py
@@ -1,4 +1,4 @@
-"""One watch on the etcd v3 JSON gateway."""
+"""A watch on the JSON gateway of etcd v3."""
 
 import threading
 import time
@@ -9,27 +9,29 @@
 from anvilwell_outside.adapters import json_bodies
 from anvilwell_outside.ports import keyvalue
 
+# Largest message of a watch; limits the memory for an incomplete line.
 MAX_LINE_BYTES = 4 << 20
 _READ_BYTES = 1 << 16
 
 
 class EtcdWatch(keyvalue.Watch):
-    """Iterates over each `Change`; `close` works from any thread.
+    """Iterator over the `Change`s of a watch.
 
-    It ends when closed or after `timeout_s` without a change, and
-    raises ``exceptions.KeyValueUnavailable`` when it was cut or the
-    changes asked for are no longer kept (``Compacted``).
+    It ends when it is closed, from any thread, or after `timeout_s`
+    without a change. It raises ``exceptions.KeyValueUnavailable`` if the
+    connection breaks, and its subclass `Compacted` if the store has
+    discarded the requested changes.
 
     Parameters
     ----------
     response : urllib3.HTTPResponse
-        The streamed message.
+        The streamed response.
     client : http_client.HttpClient
-        Turns urllib3's errors into ours.
+        Converts urllib3's errors into those of this project.
     timeout_s : float
-        Seconds without a change after which it ends.
+        Time without a change, in seconds, after which the watch ends.
     on_end : callable
-        Called once when it ends.
+        Called once, when the watch ends.
     """
 
     def __init__(self, response, client, timeout_s, on_end):
@@ -51,7 +53,7 @@
         return next(self._changes)
 
     def close(self):
-        """End the watch; a reader on another thread ends as well."""
+        """End the watch, even while another thread waits for a change."""
         with self._lock:
             if self._closed.is_set():
                 return
@@ -59,10 +61,11 @@
             try:
                 self._response.shutdown()
             except (OSError, RuntimeError, ValueError):
-                # The connection is gone already.
+                # The connection is already closed.
                 pass
             if not self._has_begun:
-                # Nobody reads, so nobody else closes it.
+                # Only a started iteration closes the response itself, in
+                # `_read`. Otherwise the store would keep the watch open.
                 self._response.close()
         self._on_end()
 
@@ -91,7 +94,8 @@
         result = message["result"]
         if result.get("canceled"):
             raise Compacted(
-                "the watch's changes are no longer kept; read again from "
+                "the store has discarded the changes that the watch "
+                "requested; read again from "
                 f"revision {result.get('compact_revision', 0)}"
             )
         return [etcd_wire.change(event) for event in result.get("events", [])]
@@ -103,16 +107,21 @@
             if chunk is None:
                 return
             if not chunk:
-                raise exceptions.KeyValueUnavailable("the watch was cut")
+                raise exceptions.KeyValueUnavailable(
+                    "the connection of the watch was closed"
+                )
             *lines, buffered = (buffered + chunk).split(b"\n")
             if len(buffered) > MAX_LINE_BYTES:
                 raise exceptions.KeyValueUnavailable(
-                    f"a watch's line is over {MAX_LINE_BYTES} bytes"
+                    f"a line of the watch exceeds {MAX_LINE_BYTES} bytes"
                 )
             yield from filter(None, lines)
 
     def _read_some(self):
-        """Return bytes, or None when it is idle for too long."""
+        """Return the bytes that arrived, or None after a read timeout.
+
+        They are empty at the end of the connection.
+        """
         try:
             return self._response.read1(_READ_BYTES)
         except Exception as error:
@@ -120,9 +129,9 @@
             if isinstance(failure, exceptions.Timeout):
                 return None
             raise exceptions.KeyValueUnavailable(
-                f"the watch was cut: {failure.message}"
+                f"the watch failed: {failure.message}"
             ) from error
 
 
 class Compacted(exceptions.KeyValueUnavailable):
-    """Changes that a watch asked for are no longer kept."""
+    """The store has discarded the changes that a watch requested."""
--- a/packages/outside/anvilwell_outside/adapters/etcd_wire.py
+++ b/packages/outside/anvilwell_outside/adapters/etcd_wire.py
@@ -1,4 +1,4 @@
-"""Bodies of the etcd v3 JSON gateway."""
+"""Request and response bodies of the JSON gateway of etcd v3."""
 
 import base64
 import typing
@@ -15,13 +15,13 @@
 
 
 class Header(typing_extensions.TypedDict, total=False):
-    """Header of an answer; the store's revision."""
+    """Header of a response, with the store's revision."""
 
     revision: int
 
 
 class KeyBody(typing_extensions.TypedDict, total=False):
-    """A key as the gateway shows it; zero fields are left out."""
+    """A key and its value; the gateway omits fields that are zero."""
 
     key: typing_extensions.Required[Base64]
     value: Base64
@@ -30,20 +30,23 @@
 
 
 class RangeResponse(typing_extensions.TypedDict, total=False):
-    """Answer to a range."""
+    """Response to a read of a range of keys."""
 
     header: typing_extensions.Required[Header]
     kvs: list[KeyBody]
 
 
 class OperationResponse(typing_extensions.TypedDict, total=False):
-    """Answer to one operation; only ranges carry data."""
+    """Response to one operation of a transaction.
+
+    Only reads have a field with data.
+    """
 
     response_range: RangeResponse
 
 
 class TxnResponse(typing_extensions.TypedDict, total=False):
-    """Answer to a transaction."""
+    """Response to a transaction."""
 
     header: typing_extensions.Required[Header]
     succeeded: bool
@@ -51,27 +54,27 @@
 
 
 class LeaseResponse(typing_extensions.TypedDict, total=False):
-    """A lease's id and seconds; no seconds if it has lapsed."""
+    """Id and TTL of a lease; the TTL is absent if the lease has expired."""
 
     ID: int
     TTL: int
 
 
 class KeepAliveResponse(typing_extensions.TypedDict):
-    """Answer to a renewal."""
+    """Response to the renewal of a lease."""
 
     result: LeaseResponse
 
 
 class EventBody(typing_extensions.TypedDict, total=False):
-    """One change; ``type`` is left out for a put."""
+    """One change; ``type`` is absent for a put."""
 
     kv: typing_extensions.Required[KeyBody]
     type: str
 
 
 class WatchResult(typing_extensions.TypedDict, total=False):
-    """One message of a watch."""
+    """Content of one message of a watch."""
 
     header: Header
     events: list[EventBody]
@@ -80,7 +83,7 @@
 
 
 class WatchResponse(typing_extensions.TypedDict):
-    """One line of a watch."""
+    """One message of a watch, sent as a line."""
 
     result: WatchResult
 
@@ -93,17 +96,17 @@
 
 
 def encode_bytes(data):
-    """Return `data` in base64."""
+    """Return `data` encoded in base64."""
     return base64.b64encode(data).decode()
 
 
 def encode_key(key):
-    """Return a key in base64."""
+    """Return `key` encoded in base64."""
     return encode_bytes(key.encode())
 
 
 def prefix_range(prefix):
-    """Return the body of a range over all keys with `prefix`."""
+    """Return the body of a read of all keys that start with `prefix`."""
     start = prefix.encode()
     end = start[:-1] + bytes([start[-1] + 1]) if start else b"\0"
     return {
@@ -115,7 +118,8 @@
 def swap_txn(swaps):
     """Return the body of a transaction that applies all `swaps` or none.
 
-    A `keyvalue.Guard` is a comparison without an operation.
+    If a comparison fails, the transaction reads the keys instead. A
+    `keyvalue.Guard` is a comparison without an operation.
     """
     compare = [
         {
@@ -143,7 +147,7 @@
 
 
 def entry(body):
-    """Return the port's `Entry` of a `KeyBody`."""
+    """Convert a `KeyBody` into a `keyvalue.Entry`."""
     return keyvalue.Entry(
         _text(body["key"]),
         body.get("value", b""),
@@ -153,7 +157,7 @@
 
 
 def change(event):
-    """Return the port's `Change` of an `EventBody`."""
+    """Convert an `EventBody` into a `keyvalue.Change`."""
     found = entry(event["kv"])
     deleted = event.get("type") == "DELETE"
     value = None if deleted else found.value
--- a/packages/outside/anvilwell_outside/adapters/http_adapter.py
+++ b/packages/outside/anvilwell_outside/adapters/http_adapter.py
@@ -1,10 +1,10 @@
-"""What all adapters over HTTP share."""
+"""Base classes of the adapters that use HTTP."""
 
 from anvilwell_outside.adapters import http_client
 
 
 class HttpAdapter:
-    """Holds the connections to one outside system.
+    """An adapter with HTTP connections to one outside system.
 
     Parameters
     ----------
@@ -17,12 +17,12 @@
 
     @classmethod
     def from_config(cls, config):
-        """Build it from a section of the settings.
+        """Create the adapter from a section of the settings.
 
         Parameters
         ----------
         config : KeyValueSection or OutsideSection
-            Its ``endpoints`` are used.
+            Section whose ``endpoints`` are the addresses of the system.
         """
         return cls(http_client.HttpClient(*config.endpoints))
 
@@ -32,9 +32,12 @@
 
 
 class BackendAdapter(HttpAdapter):
-    """Calls the backend server that an agent stands beside."""
+    """An adapter for the backend server of an agent."""
 
     @classmethod
     def from_config(cls, config):
-        """Build it from the agent's section; ``backend`` is used."""
+        """Create the adapter from the agent's section.
+
+        Its ``backend`` is the address of the backend server.
+        """
         return cls(http_client.HttpClient(config.backend))
--- a/packages/outside/anvilwell_outside/adapters/http_client.py
+++ b/packages/outside/anvilwell_outside/adapters/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls with a verdict on every error and a bound on every body."""
+"""HTTP client with a verdict on every error and a limit on every body."""
 
 import time
 
@@ -10,12 +10,18 @@
 from anvilwell_outside.adapters import responses
 from anvilwell_outside.adapters import strict_connection
 
+# Largest body that `HttpClient.call` reads into memory.
 MAX_BODY_BYTES = 4 << 20
+# Idle connections kept for each address.
 CONNECTIONS = 64
+# Limit for making a connection, also if the call itself may take longer.
 CONNECT_TIMEOUT_S = 1.0
+# Used for a call whose deadline has passed: urllib3 rejects timeouts of 0 or
+# less.
 MIN_TIMEOUT_S = 0.001
 _READ_BYTES = 1 << 16
 
+# Errors raised before anything was sent.
 _NOT_SENT = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
@@ -24,22 +30,23 @@
 
 
 class HttpClient:
-    """Kept-alive connections to one system at one or more addresses.
+    """Kept-alive connections to one system with one or more addresses.
 
     Parameters
     ----------
     *addresses : str or Address
-        ``ip:port`` of each server; the next one is tried when a
-        connection to one can't be made, and kept to from then on.
+        ``ip:port`` of each server. If a connection to one can't be made,
+        the next is tried, and later calls start with the one that worked.
     connections : int
-        Idle connections that are kept; more may be open at a time.
+        Number of idle connections kept for each address; more may be open
+        at a time.
 
     Notes
     -----
-    It never repeats a call that it has begun to send and follows no
-    redirect. A call whose connection could not be made has verdict
-    ``NOT_RUN``; whatever fails later, also on a kept-alive connection
-    that the other side had closed, has verdict ``MAY_HAVE_RUN``.
+    It never retries a call that it has begun to send, and does not follow
+    redirects. If no connection could be made, the error has verdict
+    ``NOT_RUN``. Any later failure has verdict ``MAY_HAVE_RUN``, including
+    one on a kept-alive connection that the server had closed.
     """
 
     def __init__(self, *addresses, connections=CONNECTIONS):
@@ -67,25 +74,27 @@
         timeout_s,
         use_new_connection=False,
     ):
-        """Send a call and return urllib3's response, body unread.
+        """Send a request and return urllib3's response with its body unread.
 
         Parameters
         ----------
         method, path : str
-            The call.
+            Method and path of the request.
         body : bytes, optional
-            What to send.
+            Body of the request.
         headers : mapping, optional
-            Headers to send.
+            Headers of the request.
         timeout_s : float
-            Longest wait for the connection and for each read.
-        fresh : bool
-            Use a new connection, for this call alone.
+            Limit for the connection and for each read, in seconds; the
+            connection has at most `CONNECT_TIMEOUT_S`.
+        use_new_connection : bool
+            Send the request on a new connection that is used only once.
 
         Raises
         ------
         exceptions.BackendFailed, exceptions.Timeout
-            With the verdict of the failure.
+            If the request fails; the verdict says whether it may have
+            run.
         """
         first = self._preferred
         count = len(self._pools)
@@ -104,13 +113,13 @@
         raise failure
 
     def call(self, method, path, *, body=None, headers=None, timeout_s):
-        """Send a call and return its whole `Answer`.
+        """Send a request and return the `HttpResponse` with its whole body.
 
         Raises
         ------
         exceptions.BackendFailed, exceptions.Timeout
-            Also if the body is larger than `MAX_BODY_BYTES` or was not
-            whole by the deadline.
+            If the request fails, the body is larger than `MAX_BODY_BYTES`
+            or it is not complete after `timeout_s`.
         """
         deadline = time.monotonic() + timeout_s
         response = self.open(
@@ -120,24 +129,27 @@
         return responses.HttpResponse(response.status, response.headers, data)
 
     def chunks(self, response, deadline, limit_bytes, *, is_delimited=False):
-        """Yield the body as it arrives, then free the connection.
+        """Yield the body as it arrives, then release the connection.
 
         Parameters
         ----------
         response : urllib3.HTTPResponse
-            From `open`.
+            A response that `open` returned.
         deadline : float
-            On ``time.monotonic``, in seconds.
+            Time on ``time.monotonic``, in seconds, by which the body must
+            be complete.
         limit_bytes : int
-            Longest body that is taken.
+            Largest body that is accepted.
         is_delimited : bool
-            The reader can tell by the body itself whether it is whole.
+            Whether the body itself marks its end, so that the reader can
+            detect truncation.
 
         Raises
         ------
         exceptions.BackendFailed, exceptions.Timeout
-            If it is cut, larger than `limit_bytes`, or late; also if it
-            ends with the connection, which looks the same as a cut.
+            If the body is truncated, larger than `limit_bytes` or late.
+            Also if only the end of the connection marks its end, unless
+            `is_delimited`, as truncation could not be detected.
         """
         has_end = response.chunked or response.length_remaining is not None
         bytes_left = limit_bytes
@@ -149,7 +161,8 @@
                 yield chunk
             if not has_end and not is_delimited:
                 raise exceptions.BackendFailed(
-                    f"{self.address} gave no length; the answer may be cut",
+                    f"{self.address} sent no length; the response may be "
+                    "truncated",
                     reason=reasons.Refusal.ANSWER_CUT,
                 )
             whole = True
@@ -161,7 +174,10 @@
             response.release_conn()
 
     def failure(self, error):
-        """Return our error for urllib3's, with its verdict."""
+        """Convert an error of urllib3 into one of this project's.
+
+        The result carries the verdict on whether the request may have run.
+        """
         if isinstance(error, _NOT_SENT):
             return exceptions.BackendFailed(
                 f"{self.address} can't be reached: {error}",
@@ -170,10 +186,10 @@
             )
         if isinstance(error, urllib3.exceptions.TimeoutError):
             return exceptions.Timeout(
-                f"{self.address} gave no answer in time: {error}"
+                f"{self.address} did not respond in time: {error}"
             )
         return exceptions.BackendFailed(
-            f"{self.address} broke off: {error!r}",
+            f"the connection to {self.address} failed: {error!r}",
             reason=reasons.Refusal.ANSWER_CUT,
         )
 
@@ -185,7 +201,7 @@
             )
         if time.monotonic() > deadline:
             raise exceptions.Timeout(
-                f"{self.address} was still answering at the deadline"
+                f"{self.address} did not complete its response in time"
             )
 
 
--- a/packages/outside/anvilwell_outside/adapters/http_plain.py
+++ b/packages/outside/anvilwell_outside/adapters/http_plain.py
@@ -1,4 +1,4 @@
-"""The port to plain services over HTTP."""
+"""Adapter for plain services over HTTP."""
 
 import time
 
@@ -8,21 +8,26 @@
 from anvilwell_outside.adapters import responses
 from anvilwell_outside.ports import plain
 
-MAX_ANSWER_BYTES = 64 << 20
+# Largest body that a plain service may send.
+MAX_RESPONSE_BYTES = 64 << 20
 
+# Headers that the HTTP client sets itself.
 _SET_BY_CLIENT = frozenset(("host", "content-length"))
 
 
 class HttpPlain(http_adapter.BackendAdapter, plain.Plain):
-    """Calls one plain service; hop-by-hop headers stay behind.
+    """Calls one plain service; hop-by-hop headers are not forwarded.
 
-    A call that is not idempotent gets a connection of its own: a
-    kept-alive one may be closed just as the call is written, which
-    leaves open whether it ran.
+    A request that is not idempotent is sent on a new connection. The
+    server may close a kept-alive one just as the request is written, and
+    it would then be unknown whether the request ran.
     """
 
     def call(self, request, *, timeout_s):
-        """Return the `Response` to `request`; close its chunks."""
+        """Send `request` and return its `Response`.
+
+        The caller closes the response's ``chunks``.
+        """
         deadline = time.monotonic() + timeout_s
         dropped = hop_by_hop.HOP_BY_HOP | _SET_BY_CLIENT
         response = self._client.open(
@@ -33,7 +38,7 @@
             timeout_s=timeout_s,
             use_new_connection=not request.idempotent,
         )
-        chunks = self._client.chunks(response, deadline, MAX_ANSWER_BYTES)
+        chunks = self._client.chunks(response, deadline, MAX_RESPONSE_BYTES)
         headers = _without(hop_by_hop.HOP_BY_HOP, response.headers.items())
         return plain.Response(response.status, list(headers.items()), chunks)
 
--- a/packages/outside/anvilwell_outside/adapters/http_scorer.py
+++ b/packages/outside/anvilwell_outside/adapters/http_scorer.py
@@ -1,4 +1,4 @@
-"""The scorer's port over JSON."""
+"""Adapter for a scorer, a JSON API over HTTP."""
 
 from anvilwell_kernel import exceptions
 import pydantic
@@ -23,22 +23,22 @@
 
 
 class HttpScorer(http_adapter.HttpAdapter, scorer.Scorer):
-    """Asks the scorer; scores nobody asked for are dropped."""
+    """Calls one scorer and drops scores of samples that were not sent."""
 
     def score(self, samples, *, timeout_s):
-        """Return a `Score` for each of `samples`, as scores_by_id.
+        """Return a `Score` by sample id for each of `samples`.
 
         Parameters
         ----------
         samples : dict of str to str
             Texts by sample id.
         timeout_s : float
-            Longest wait, in seconds.
+            Limit for the call, in seconds.
 
         Raises
         ------
         exceptions.BackendFailed
-            If a sample got no score, or two that differ.
+            If a sample got no score or two different ones.
         """
         body = [{"id": key, "text": text} for key, text in samples.items()]
         response = self._client.call(
@@ -59,11 +59,11 @@
         score = scorer.Score(one["id"], one["score"])
         if scores_by_id.setdefault(score.sample_id, score) != score:
             raise exceptions.BackendFailed(
-                f"the scorer gave two scores for {score.sample_id}"
+                f"the scorer sent two different scores for {score.sample_id}"
             )
     missing = samples.keys() - scores_by_id.keys()
     if missing:
         raise exceptions.BackendFailed(
-            f"the scorer gave no score for {sorted(missing)}"
+            f"the scorer sent no score for {sorted(missing)}"
         )
     return {key: scores_by_id[key] for key in samples}
--- a/packages/outside/anvilwell_outside/adapters/http_vmlist.py
+++ b/packages/outside/anvilwell_outside/adapters/http_vmlist.py
@@ -1,4 +1,4 @@
-"""The VM list's port over JSON."""
+"""Adapter for the VM list, a JSON API over HTTP."""
 
 import pydantic
 import typing_extensions
@@ -24,10 +24,10 @@
 
 
 class HttpVmList(http_adapter.HttpAdapter, vmlist.VmList):
-    """Reads the list."""
+    """Reads the VM list."""
 
     def vms(self, *, timeout_s):
-        """Return the listed VMs as ``vms_by_id``."""
+        """Return each listed `Vm` by its id."""
         response = self._client.call("GET", "/vms", timeout_s=timeout_s)
         responses.check_status(response, "VM list")
         body = json_bodies.decode(_VMS, response.body, "VM list")
--- a/packages/outside/anvilwell_outside/adapters/http_weightstore.py
+++ b/packages/outside/anvilwell_outside/adapters/http_weightstore.py
@@ -1,4 +1,4 @@
-"""The weight store's port over JSON."""
+"""Adapter for the weight store, a JSON API over HTTP."""
 
 from urllib import parse
 
@@ -19,15 +19,16 @@
 
 
 class HttpWeightStore(http_adapter.HttpAdapter, weightstore.WeightStore):
-    """Reads what versions there are; never fetches weights."""
+    """Lists weight versions; never fetches the weights themselves."""
 
     def versions(self, model, *, timeout_s):
-        """Return the names of the published versions, oldest first.
+        """Return the names of `model`'s published versions, oldest first.
 
         Raises
         ------
         exceptions.Refused
-            If the rate limit is reached; says when to come back.
+            If the rate limit is reached; its ``retry_after`` is the number
+            of seconds to wait.
         """
         name = parse.quote(model, safe="")
         response = self._client.call(
@@ -38,5 +39,5 @@
         return body["versions"]
 
     def has(self, model, version, *, timeout_s):
-        """Return whether `version` is published."""
+        """Return whether `version` of `model` is published."""
         return version in self.versions(model, timeout_s=timeout_s)
--- a/packages/outside/anvilwell_outside/adapters/json_bodies.py
+++ b/packages/outside/anvilwell_outside/adapters/json_bodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies to and from typed data."""
+"""Encodes JSON bodies, and decodes and validates them."""
 
 import json
 
@@ -9,22 +9,24 @@
 
 
 def encode(body):
-    """Return `body` as JSON in bytes."""
+    """Return `body` encoded as JSON."""
     return json.dumps(body).encode()
 
 
 def decode(adapter, data, what):
-    """Return what `adapter` (a pydantic one) finds in `data`.
+    """Return the JSON text `data`, validated by a pydantic `adapter`.
+
+    `what` names the server in the message of the error.
 
     Raises
     ------
     exceptions.BackendFailed
-        If the answer is not of that shape; the call may have run.
+        If `data` does not fit the type; the call may have run.
     """
     try:
         return adapter.validate_json(data)
     except ValueError as error:
         raise exceptions.BackendFailed(
-            f"{what} gave an answer that is not understood: {error}",
+            f"{what} sent an invalid response: {error}",
             reason=reasons.Refusal.BACKEND_FAILED,
         ) from error
--- a/packages/outside/anvilwell_outside/adapters/meter.py
+++ b/packages/outside/anvilwell_outside/adapters/meter.py
@@ -5,10 +5,11 @@
 
 
 class CallMeter:
-    """Counts calls by purpose and kind; ``read``, ``write``, ``watch``.
+    """Counts calls by purpose and kind (``read``, ``write`` or ``watch``).
 
-    It counts what goes out on the network, for tests and benches; the
-    metrics page has the counters of the daemon's own facade.
+    Kind ``waiting`` is the number of watches that are open now. These are
+    the calls sent over the network, counted for tests and benchmarks; the
+    metrics page shows the counters of the daemon's own facade instead.
     """
 
     def __init__(self):
@@ -21,11 +22,11 @@
             self._counts_by_purpose_and_kind[str(purpose), kind] += 1
 
     def count_waiting(self, purpose, change):
-        """Count a watch that begins (1) or ends (-1) to wait."""
+        """Add `change` to the open watches: 1 for a new one, -1 at its end."""
         with self._lock:
             self._counts_by_purpose_and_kind[str(purpose), "waiting"] += change
 
     def counts(self):
-        """Return the counts so far, by purpose and kind."""
+        """Return the counts by purpose and kind."""
         with self._lock:
             return dict(self._counts_by_purpose_and_kind)
--- a/packages/outside/anvilwell_outside/adapters/responses.py
+++ b/packages/outside/anvilwell_outside/adapters/responses.py
@@ -1,4 +1,4 @@
-"""Whole answers, and the errors that their statuses mean."""
+"""HTTP responses with their whole body, and the errors for their statuses."""
 
 import typing
 
@@ -10,7 +10,7 @@
 
 
 class HttpResponse(typing.NamedTuple):
-    """A whole response."""
+    """An HTTP response whose body has been read to the end."""
 
     status: int
     headers: Headers
@@ -18,27 +18,33 @@
 
 
 def retry_after_s(headers):
-    """Return the seconds of ``Retry-After``, or None if it has none."""
+    """Return the seconds in ``Retry-After``.
+
+    None if the header is absent or not a whole number of seconds.
+    """
     text = headers.get("Retry-After", "")
     return float(text) if text.isdecimal() else None
 
 
 def check_status(response, what):
-    """Return `response` if its status is 2xx.
+    """Return `response` if its status is 2xx, and raise an error otherwise.
+
+    `what` names the server in the message of the error.
 
     Raises
     ------
     exceptions.Refused
-        For 429, which promises that nothing was done.
+        For 429, which guarantees that the request had no effect.
     exceptions.BadRequest, exceptions.NotFound, exceptions.Conflict
         For 400, 404 and 409, with verdict ``NOT_RUN``.
     exceptions.BackendFailed
-        For all else: a server error may come after the effect.
+        For any other status. The request may have run, since a server can
+        fail after the effect.
     """
     if 200 <= response.status < 300:
         return response
     text = response.body[:200].decode(errors="replace")
-    message = f"{what} answered {response.status}: {text}"
+    message = f"{what} responded with status {response.status}: {text}"
     if response.status == 429:
         raise exceptions.Refused(
             message,
--- a/packages/outside/anvilwell_outside/adapters/sse_engine.py
+++ b/packages/outside/anvilwell_outside/adapters/sse_engine.py
@@ -1,4 +1,4 @@
-"""The engine port over OpenAI-compatible HTTP."""
+"""Adapter for engines with an OpenAI-compatible HTTP API."""
 
 import http
 import time
@@ -15,8 +15,11 @@
 from anvilwell_outside.adapters import responses
 from anvilwell_outside.ports import engine
 
+# Largest stream of one attempt, in bytes of its events.
 MAX_STREAM_BYTES = 64 << 20
+# Data of the event that ends a complete stream.
 DONE = "[DONE]"
+# Header with the id of the attempt.
 REQUEST_ID = "X-Request-Id"
 
 
@@ -49,7 +52,7 @@
 
 
 class SseEngine(http_adapter.BackendAdapter, engine.Engine):
-    """Calls one engine; generated streams are server-sent events."""
+    """Calls one engine and reads its streams as server-sent events."""
 
     def load(self, *, timeout_s):
         """Return the engine's `Load`."""
@@ -63,11 +66,15 @@
             )
         except (ValueError, KeyError) as error:
             raise exceptions.BackendFailed(
-                f"the engine's metrics are not understood: {error!r}"
+                f"the engine's metrics are invalid: {error!r}"
             ) from error
 
     def generate(self, attempt_id, body, *, timeout_s):
-        """Yield `Tokens`, then one `Finish`; cancel by closing it."""
+        """Yield `Tokens`, then one `Finish`.
+
+        Closing the generator closes the connection, which cancels the
+        attempt.
+        """
         deadline = time.monotonic() + timeout_s
         response = self._client.open(
             "POST",
@@ -94,21 +101,21 @@
             response.close()
 
     def cancel(self, attempt_id, *, timeout_s):
-        """Give up `attempt_id`; no error if it is not there."""
+        """Cancel attempt `attempt_id`; does nothing if it is not running."""
         body = {"request_id": attempt_id}
         self._call("POST", "/cancel", body, timeout_s=timeout_s)
 
     def order(self, order, *, timeout_s):
-        """Carry out `order`.
+        """Have the engine execute `order`.
 
         Raises
         ------
         exceptions.Fenced
-            If the engine has seen a higher fencing number.
+            If the engine has received a higher fencing number.
         exceptions.Conflict
-            If the engine refuses it for another reason.
+            If the engine refuses the order for another reason.
         exceptions.BackendFailed
-            If it failed; the engine may have carried it out.
+            If the call failed; the engine may have executed the order.
         """
         response = self._send(
             "POST", "/orders", order._asdict(), timeout_s=timeout_s
@@ -117,22 +124,26 @@
             response
         ):
             raise exceptions.Fenced(
-                f"the engine has seen a number above {order.fencing}"
+                "the engine has received a higher fencing number than "
+                f"{order.fencing}"
             )
         responses.check_status(response, "engine /orders")
 
     def export_cache(self, attempt_id, *, timeout_s):
-        """Return the attempt's KV cache as bytes."""
+        """Return the KV cache of attempt `attempt_id` as bytes."""
         path = f"/cache/{attempt_id}"
         return self._call("GET", path, timeout_s=timeout_s).body
 
     def import_cache(self, attempt_id, data, *, timeout_s):
-        """Take a KV cache exported elsewhere."""
+        """Load a KV cache that another engine exported for `attempt_id`."""
         path = f"/cache/{attempt_id}"
         self._call("PUT", path, data=data, timeout_s=timeout_s)
 
     def events(self, since, *, timeout_s):
-        """Return cache events after number `since`, maybe with gaps."""
+        """Return the `CacheEvent`s after number `since`.
+
+        Their numbers may have gaps.
+        """
         path = f"/events?since={since}"
         response = self._call("GET", path, timeout_s=timeout_s)
         return json_bodies.decode(_EVENTS, response.body, "events")["events"]
@@ -164,7 +175,7 @@
 
 
 def _parse_stream(events):
-    """Yield `Tokens` for each event with some, `Finish` at the end."""
+    """Yield `Tokens` for each event that has any, then one `Finish`."""
     count = 0
     finish = None
     for event in events:
@@ -180,14 +191,16 @@
             yield tokens
         finish = body["choices"][0].get("finish_reason") or finish
     raise exceptions.BackendFailed(
-        f"the engine's stream was cut after {count} tokens",
+        f"the engine's stream was truncated after {count} tokens",
         reason=reasons.Refusal.ANSWER_CUT,
     )
 
 
 def _parse_tokens(body):
     if not body["choices"]:
-        raise exceptions.BackendFailed("the engine sent an empty event")
+        raise exceptions.BackendFailed(
+            "the engine sent an event without choices"
+        )
     text = body["choices"][0].get("text", "")
     count = body.get("tokens", 0)
     version = body.get("version", "")
--- a/packages/outside/anvilwell_outside/adapters/strict_connection.py
+++ b/packages/outside/anvilwell_outside/adapters/strict_connection.py
@@ -1,7 +1,8 @@
-"""HTTP connections that notice an answer whose head is cut.
+"""HTTP connections that detect a response whose head is truncated.
 
-The standard library takes the end of the connection for the end of the
-head. An answer without a body (a length of 0, 204) then looks whole.
+The standard library treats the end of the connection as the end of the
+headers. A truncated response without a body (length 0 or status 204) would
+then look complete.
 """
 
 import http.client
@@ -12,11 +13,11 @@
 
 
 class TruncatedHead(http.client.HTTPException):
-    """The connection ended before the answer's head did."""
+    """The connection ended before the end of the response's headers."""
 
 
 class _LastLineReader:
-    """A file that remembers the line that was read last."""
+    """Wraps a file and keeps the line that was read last."""
 
     def __init__(self, file):
         self.file = file
@@ -41,10 +42,10 @@
             if self.fp is lines:
                 self.fp = lines.file
         if lines.line not in _BLANK:
-            raise TruncatedHead("the head of the answer is cut")
+            raise TruncatedHead("the response's headers are truncated")
 
 
 class Connection(connection.HTTPConnection):
-    """One that raises `TruncatedHead`."""
+    """A connection that raises `TruncatedHead` on truncated headers."""
 
     response_class = _Response
--- a/packages/outside/anvilwell_outside/ports/__init__.py
+++ b/packages/outside/anvilwell_outside/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Abstract base classes, one for each outside system."""
+"""Ports: an abstract base class for each kind of outside system."""
--- a/packages/outside/anvilwell_outside/ports/engine.py
+++ b/packages/outside/anvilwell_outside/ports/engine.py
@@ -1,11 +1,15 @@
-"""A model engine beside an agent."""
+"""Port to an engine: the backend server that runs a model for an agent."""
 
 import abc
 import typing
 
 
 class Load(typing.NamedTuple):
-    """What an engine reports of itself, with a lag."""
+    """Load that an engine reports; it lags behind the engine's state.
+
+    ``cache_share`` is the share of the cache's capacity that is in use,
+    ``version`` the active weight version.
+    """
 
     running: int
     waiting: int
@@ -14,7 +18,10 @@
 
 
 class Tokens(typing.NamedTuple):
-    """A piece of a generated stream, made by one weight version."""
+    """A piece of a generated stream, all from one weight version.
+
+    ``count`` is the number of tokens in ``text``.
+    """
 
     text: str
     count: int
@@ -22,14 +29,22 @@
 
 
 class Finish(typing.NamedTuple):
-    """The end of a whole stream."""
+    """End of a complete stream.
+
+    ``reason`` is the engine's finish reason, ``count`` the number of
+    tokens in the whole stream.
+    """
 
     reason: str
     count: int
 
 
 class CacheEvent(typing.NamedTuple):
-    """A block of the prefix cache was ``stored`` or ``evicted``."""
+    """A change to the engine's prefix cache.
+
+    ``kind`` is ``stored`` or ``evicted``; ``number`` is the position in
+    the engine's sequence of events.
+    """
 
     number: int
     kind: str
@@ -37,7 +52,11 @@
 
 
 class Order(typing.NamedTuple):
-    """An order to an engine with its fencing number."""
+    """An order to an engine, with the fencing number of its sender.
+
+    ``kind`` names the operation, such as ``load`` or ``activate``, and
+    ``argument`` what it applies to, such as a weight version.
+    """
 
     kind: str
     argument: str
@@ -45,7 +64,10 @@
 
 
 class Engine(abc.ABC):
-    """Blocking calls to one engine; errors carry a verdict."""
+    """Blocking calls to one engine.
+
+    Each error carries a verdict: whether the engine may have run the call.
+    """
 
     @abc.abstractmethod
     def load(self, *, timeout_s):
@@ -58,34 +80,45 @@
         Parameters
         ----------
         attempt_id : str
-            Unique to this attempt.
+            Identifies this attempt; never used for another one.
         body : dict
-            The JSON-able completion; ``stream`` is set in it.
+            Completion request, serializable as JSON. The adapter sets its
+            ``stream`` field.
         timeout_s : float
-            Bound of the whole stream.
+            Limit for the whole stream, in seconds.
 
         Raises
         ------
         exceptions.BackendFailed
-            With verdict ``NOT_RUN`` if the engine never took it.
+            If the call fails or the stream ends early; with verdict
+            ``NOT_RUN`` only if the engine did not accept the request.
         """
 
     @abc.abstractmethod
     def cancel(self, attempt_id, *, timeout_s):
-        """Give up `attempt_id`; no error if it is not there."""
+        """Cancel attempt `attempt_id`; does nothing if it is not running."""
 
     @abc.abstractmethod
     def order(self, order, *, timeout_s):
-        """Carry out `order`; raise ``exceptions.Fenced`` if it is old."""
+        """Have the engine execute `order`.
+
+        Raises
+        ------
+        exceptions.Fenced
+            If the engine has received a higher fencing number.
+        """
 
     @abc.abstractmethod
     def export_cache(self, attempt_id, *, timeout_s):
-        """Return the attempt's KV cache as bytes."""
+        """Return the KV cache of attempt `attempt_id` as bytes."""
 
     @abc.abstractmethod
     def import_cache(self, attempt_id, data, *, timeout_s):
-        """Take a KV cache exported elsewhere."""
+        """Load a KV cache that another engine exported for `attempt_id`."""
 
     @abc.abstractmethod
     def events(self, since, *, timeout_s):
-        """Return each `CacheEvent` after number `since`, with gaps."""
+        """Return the `CacheEvent`s after number `since`.
+
+        The numbers may have gaps: an engine can lose events.
+        """
--- a/packages/outside/anvilwell_outside/ports/keyvalue.py
+++ b/packages/outside/anvilwell_outside/ports/keyvalue.py
@@ -1,4 +1,7 @@
-"""The platform's key-value service, the only place for agreement."""
+"""Port to the platform's key-value service.
+
+It is the only system through which processes reach agreement.
+"""
 
 import abc
 import enum
@@ -6,7 +9,7 @@
 
 
 class Purpose(enum.StrEnum):
-    """What a call is for; every call is metered by purpose."""
+    """Purpose of a call; calls are counted separately for each."""
 
     CONFIGURATION = "configuration"
     MEMBERSHIP = "membership"
@@ -18,7 +21,11 @@
 
 
 class Entry(typing.NamedTuple):
-    """A key's value; ``revision`` is its last change, ``lease`` 0 if none."""
+    """A key and its value.
+
+    ``revision`` is the store's revision at the key's last change.
+    ``lease`` is the id of the lease that the key is attached to, or 0.
+    """
 
     key: str
     value: bytes
@@ -27,17 +34,18 @@
 
 
 class Snapshot(typing.NamedTuple):
-    """Entries read at one revision of the store."""
+    """Entries that were all read at one revision of the store."""
 
     entries_by_key: dict
     revision: int
 
 
 class Swap(typing.NamedTuple):
-    """A conditional write of one key.
+    """A conditional write (compare and swap) of one key.
 
-    ``expected`` is the key's last known revision; 0 means the key must
-    not exist. A ``value`` of None deletes the key.
+    ``expected`` is the revision that the key must still have; 0 means
+    that it must not exist. A ``value`` of None deletes the key. If
+    ``lease`` is not 0, the key is attached to that lease.
     """
 
     key: str
@@ -47,7 +55,7 @@
 
 
 class Guard(typing.NamedTuple):
-    """A condition on a key that a `KeyValue.swap` leaves as it is.
+    """A condition on a key that `KeyValue.swap` checks but does not write.
 
     ``expected`` is as in `Swap`.
     """
@@ -57,9 +65,11 @@
 
 
 class SwapResult(typing.NamedTuple):
-    """Whether all swaps landed, and the entries there are if not.
+    """Result of a `KeyValue.swap`.
 
-    The entries of keys that were only guarded are not among them.
+    ``landed`` says whether all swaps were applied. If not,
+    ``entries_by_key`` holds the current entries of the keys to be
+    swapped, without those that only had a `Guard`.
     """
 
     landed: bool
@@ -68,7 +78,7 @@
 
 
 class Change(typing.NamedTuple):
-    """One change seen by a watch; ``value`` is None for a deletion."""
+    """One change that a watch reports; ``value`` is None for a deletion."""
 
     key: str
     value: bytes | None
@@ -76,26 +86,30 @@
 
 
 class Watch(abc.ABC):
-    """Iterates over each `Change`; a waiting watch counts as a call."""
+    """Iterator over the `Change`s of a prefix.
+
+    A watch that waits for changes counts as a call in progress.
+    """
 
     def __iter__(self):
-        """Return itself."""
+        """Return the watch itself."""
         return self
 
     @abc.abstractmethod
     def __next__(self):
-        """Return the next `Change`; may wait."""
+        """Return the next `Change`; blocks until there is one."""
 
     @abc.abstractmethod
     def close(self):
-        """End the watch, also for a reader that waits on a thread."""
+        """End the watch, even while another thread waits for a change."""
 
 
 class KeyValue(abc.ABC):
-    """Linearizable store; every call blocks and takes a timeout.
+    """Blocking calls to a linearizable key-value store.
 
-    Every method raises ``exceptions.KeyValueUnavailable``; its verdict
-    is ``NOT_RUN`` only if the call certainly never reached the store.
+    Every method raises ``exceptions.KeyValueUnavailable`` if the call
+    fails. The error's verdict is ``NOT_RUN`` only if it is certain that the
+    call was not executed.
     """
 
     @abc.abstractmethod
@@ -104,27 +118,32 @@
 
     @abc.abstractmethod
     def get_prefix(self, prefix, *, purpose, timeout_s):
-        """Return the `Snapshot` of all keys with `prefix`."""
+        """Return a `Snapshot` of all keys that start with `prefix`."""
 
     @abc.abstractmethod
     def swap(self, swaps, *, purpose, timeout_s):
         """Apply all `swaps` or none, and return a `SwapResult`.
 
-        `swaps` may hold `Guard`s too: if one fails, nothing lands.
+        `swaps` may also contain `Guard`s; if one of their conditions does
+        not hold, nothing is written.
         """
 
     @abc.abstractmethod
     def grant(self, ttl_s, *, purpose, timeout_s):
-        """Return the id of a new lease of `ttl_s` seconds."""
+        """Create a lease of `ttl_s` seconds and return its id."""
 
     @abc.abstractmethod
     def keep_alive(self, lease, *, purpose, timeout_s):
-        """Renew `lease`; return seconds granted, 0 if it has lapsed."""
+        """Renew `lease`; return its TTL in seconds, 0 if it has expired."""
 
     @abc.abstractmethod
     def revoke(self, lease, *, purpose, timeout_s):
-        """End `lease` and delete its keys."""
+        """End `lease` and delete the keys attached to it."""
 
     @abc.abstractmethod
     def watch(self, prefix, from_revision, *, purpose, timeout_s):
-        """Return a `Watch` of `prefix`; it ends on `timeout_s` idle."""
+        """Return a `Watch` of the keys that start with `prefix`.
+
+        It reports the changes from revision `from_revision` on, and ends
+        after `timeout_s` seconds without a change.
+        """
--- a/packages/outside/anvilwell_outside/ports/plain.py
+++ b/packages/outside/anvilwell_outside/ports/plain.py
@@ -1,11 +1,11 @@
-"""A plain service beside an agent."""
+"""Port to a plain service: a backend server that runs no model."""
 
 import abc
 import typing
 
 
 class Request(typing.NamedTuple):
-    """One call; ``idempotent`` says whether it may be repeated."""
+    """An HTTP request; ``idempotent`` says whether it may be repeated."""
 
     method: str
     path: str
@@ -15,7 +15,7 @@
 
 
 class Response(typing.NamedTuple):
-    """The head of an answer, and an iterator over its body."""
+    """An HTTP response; ``chunks`` iterates over its body."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -23,8 +23,14 @@
 
 
 class Plain(abc.ABC):
-    """Blocking calls to one plain service; errors carry a verdict."""
+    """Blocking calls to one plain service.
+
+    Each error carries a verdict: whether the service may have run the call.
+    """
 
     @abc.abstractmethod
     def call(self, request, *, timeout_s):
-        """Return the `Response` to `request`; close its chunks."""
+        """Send `request` and return its `Response`.
+
+        The caller closes the response's ``chunks``.
+        """
--- a/packages/outside/anvilwell_outside/ports/scorer.py
+++ b/packages/outside/anvilwell_outside/ports/scorer.py
@@ -1,19 +1,19 @@
-"""A service that scores samples for a trainer."""
+"""Port to a service that scores samples for a trainer."""
 
 import abc
 import typing
 
 
 class Score(typing.NamedTuple):
-    """A score of one sample."""
+    """The score of one sample."""
 
     sample_id: str
     value: float
 
 
 class Scorer(abc.ABC):
-    """Scores samples; scoring is idempotent."""
+    """Blocking calls to a scorer; scoring a sample again is harmless."""
 
     @abc.abstractmethod
     def score(self, samples, *, timeout_s):
-        """Return scores_by_id for `samples`, the texts by sample id."""
+        """Return a `Score` by sample id for `samples`, the texts by id."""
--- a/packages/outside/anvilwell_outside/ports/vmlist.py
+++ b/packages/outside/anvilwell_outside/ports/vmlist.py
@@ -1,11 +1,11 @@
-"""The platform's list of VMs, which lags."""
+"""Port to the platform's list of VMs, which lags behind changes."""
 
 import abc
 import typing
 
 
 class Vm(typing.NamedTuple):
-    """A VM; ``state`` is ``live`` or ``leaving``."""
+    """A listed VM; ``state`` is ``live`` or ``leaving``."""
 
     vm_id: str
     address: str
@@ -14,8 +14,8 @@
 
 
 class VmList(abc.ABC):
-    """Reads the list."""
+    """Blocking calls to the VM list."""
 
     @abc.abstractmethod
     def vms(self, *, timeout_s):
-        """Return the listed VMs as ``vms_by_id``."""
+        """Return each listed `Vm` by its id."""
--- a/packages/outside/anvilwell_outside/ports/weightstore.py
+++ b/packages/outside/anvilwell_outside/ports/weightstore.py
@@ -1,15 +1,15 @@
-"""The rate-limited store of model weights."""
+"""Port to the store of model weights, which limits the rate of calls."""
 
 import abc
 
 
 class WeightStore(abc.ABC):
-    """Reads what versions there are; engines fetch the weights."""
+    """Lists weight versions; the engines fetch the weights themselves."""
 
     @abc.abstractmethod
     def versions(self, model, *, timeout_s):
-        """Return the names of the published versions, oldest first."""
+        """Return the names of `model`'s published versions, oldest first."""
 
     @abc.abstractmethod
     def has(self, model, version, *, timeout_s):
-        """Return whether `version` is published."""
+        """Return whether `version` of `model` is published."""
