--- a/packages/outside/tests/adapters/test_etcd.py
+++ b/packages/outside/tests/adapters/test_etcd.py
@@ -1,4 +1,4 @@
-"""The key-value adapter against the key-value stand-in."""
+"""Tests of the key-value adapter against the key-value stand-in."""
 
 import threading
 
@@ -38,7 +38,7 @@
     return store.swap([ports.Swap(key, expected, value, lease)], **ARGS)
 
 
-def test_swap_lands_only_on_the_expected_revision(store):
+def test_swap_applies_only_at_the_expected_revision(store):
     first = put(store, "a", b"1")
     assert first.landed
     second = put(store, "a", b"2")
@@ -57,7 +57,7 @@
     assert store.get("b", **ARGS) is None
 
 
-def test_guard_holds_a_key_and_writes_nothing(standin, store):
+def test_guard_checks_a_key_without_writing_it(standin, store):
     guarded = put(store, "list", b"members")
     lines = len(standin.record.lines("write"))
     swaps = [ports.Swap("doc", 0, b"1"), ports.Guard("list", guarded.revision)]
@@ -66,7 +66,7 @@
     assert len(standin.record.lines("write")) == lines + 1
 
 
-def test_failed_guard_lets_nothing_land(store):
+def test_failed_guard_prevents_all_writes(store):
     guarded = put(store, "list", b"members")
     put(store, "list", b"more", expected=guarded.revision)
     for guard in (
@@ -79,7 +79,7 @@
     assert store.get("doc", **ARGS) is None
 
 
-def test_guard_of_an_absent_key(store):
+def test_guard_with_revision_0_requires_an_absent_key(store):
     swaps = [ports.Swap("doc", 0, b"1"), ports.Guard("list", 0)]
     assert store.swap(swaps, **ARGS).landed
     assert store.get("list", **ARGS) is None
@@ -93,13 +93,13 @@
     assert snapshot.revision == last.revision
 
 
-def test_none_deletes_the_key(store):
+def test_swap_to_none_deletes_the_key(store):
     landed = put(store, "a", b"1")
     put(store, "a", None, expected=landed.revision)
     assert store.get("a", **ARGS) is None
 
 
-def test_lapsed_lease_takes_its_keys(store, manual):
+def test_expired_lease_deletes_its_keys(store, manual):
     lease = store.grant(10, **ARGS)
     put(store, "a", b"1", lease=lease)
     manual.advance(9)
@@ -112,13 +112,13 @@
     store.revoke(lease, **ARGS)
 
 
-def test_value_of_a_megabyte_fits(store):
+def test_value_of_a_mebibyte_is_stored(store):
     value = bytes(1 << 20)
     assert put(store, "a", value).landed
     assert store.get("a", **ARGS).value == value
 
 
-def test_refused_connection_is_not_run(standin, store):
+def test_call_with_refused_connection_has_not_run(standin, store):
     standin.close()
     with pytest.raises(exceptions.KeyValueUnavailable) as caught:
         put(store, "a", b"1")
@@ -129,7 +129,7 @@
     ("kind", "landed"),
     [("lost-before-effect", False), ("lost-after-effect", True)],
 )
-def test_lost_answer_may_have_run(standin, store, kind, landed):
+def test_call_with_lost_response_may_have_run(standin, store, kind, landed):
     standin.faults.add(faults.Fault(kind, match="kv/txn"))
     with pytest.raises(exceptions.KeyValueUnavailable) as caught:
         put(store, "a", b"1")
@@ -144,7 +144,7 @@
     assert caught.value.verdict == verdict.Verdict.MAY_HAVE_RUN
 
 
-def test_rate_limit_is_not_run(standin, store, manual):
+def test_rate_limited_call_has_not_run(standin, store, manual):
     standin.immediate_by_kind["rate-limit"](
         faults.Fault("rate-limit", amount=0.5)
     )
@@ -155,7 +155,7 @@
     assert caught.value.retry_after > 0
 
 
-def test_roll_back_shows_older_data(standin, store):
+def test_store_rolled_back_returns_older_data(standin, store):
     put(store, "a", b"1")
     put(store, "b", b"2")
     standin.immediate_by_kind["roll-back"](faults.Fault("", amount=1))
@@ -164,7 +164,7 @@
     assert put(store, "c", b"3").landed
 
 
-def test_watch_sees_changes_from_a_revision_on(store):
+def test_watch_reports_changes_from_a_revision_on(store):
     first = put(store, "p/1", b"1")
     put(store, "q/1", b"other")
     second = put(store, "p/1", None, expected=first.revision)
@@ -177,7 +177,7 @@
     assert list(watch) == []
 
 
-def test_watch_closes_from_another_thread(store):
+def test_watch_can_be_closed_from_another_thread(store):
     watch = store.watch("p/", 0, **ARGS)
     seen = []
     reader = threading.Thread(target=lambda: seen.extend(watch))
@@ -193,14 +193,15 @@
     assert list(watch) == []
 
 
-def test_a_watch_that_nobody_read_ends_at_the_service(
+def test_closing_an_unread_watch_ends_it_at_the_service(
     standin, store, monkeypatch
 ):
-    """A daemon stopped while its thread had just opened a watch.
+    """Closing a watch that was never read must close its connection.
 
-    The thread then saw that it was to end and read nothing. Only a read
-    closed the connection, so the service kept the watch for thirty seconds
-    and more, until the object was collected.
+    A daemon that stops just after its thread has opened a watch closes it
+    unread. Once only a read closed the connection, so the service kept the
+    watch for thirty seconds and more, until the object was garbage
+    collected.
     """
     monkeypatch.setattr(server, "PROGRESS_S", 0.05)
     gone = threading.Event()
@@ -220,14 +221,14 @@
     assert list(watch) == []
 
 
-def test_watch_of_compacted_changes_says_so(standin, store):
+def test_watch_of_compacted_changes_raises_compacted(standin, store):
     put(store, "a", b"1")
     standin.immediate_by_kind["compact"](faults.Fault("compact"))
     with pytest.raises(etcd_watch.Compacted):
         next(store.watch("a", 1, **ARGS))
 
 
-def test_outage_cuts_the_watch(standin, store):
+def test_outage_of_the_store_fails_the_watch(standin, store):
     watch = store.watch("p/", 0, **ARGS)
     standin.go_down(30)
     with pytest.raises(exceptions.KeyValueUnavailable):
--- a/packages/outside/tests/adapters/test_http_client.py
+++ b/packages/outside/tests/adapters/test_http_client.py
@@ -1,4 +1,4 @@
-"""The client against servers that answer badly, byte by byte."""
+"""Tests of the HTTP client against servers that send invalid responses."""
 
 import contextlib
 import socket
@@ -19,7 +19,11 @@
 
 
 class RawServer:
-    """Gives each connection in turn its script, then closes it."""
+    """Server that sends raw bytes.
+
+    Each connection takes the next script, a sequence of responses, and is
+    closed after the last one. None means that the server never responds.
+    """
 
     def __init__(self, *scripts):
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -78,7 +82,7 @@
         return caught.value
 
 
-def test_whole_answer():
+def test_complete_response_is_returned():
     with client_of([WHOLE]) as (client, _):
         answer = client.call("GET", "/", timeout_s=WAIT_S)
     assert answer.status == 200
@@ -101,13 +105,13 @@
         HEAD + b"\r\nends with the connection",
     ],
 )
-def test_broken_answer_may_have_run(answer):
+def test_call_with_broken_response_may_have_run(answer):
     error = failure_of(answer)
     assert isinstance(error, exceptions.BackendFailed)
     assert error.verdict == MAY_HAVE_RUN
 
 
-def test_body_without_length_is_taken_where_its_end_is_told_otherwise():
+def test_delimited_body_needs_no_length():
     with client_of([HEAD + b"\r\nok"]) as (client, _):
         response = client.open("GET", "/", timeout_s=WAIT_S)
         deadline = time.monotonic() + WAIT_S
@@ -121,12 +125,12 @@
     assert error.verdict == MAY_HAVE_RUN
 
 
-def test_answer_that_is_too_large_is_given_up(monkeypatch):
+def test_response_that_is_too_large_is_an_error(monkeypatch):
     monkeypatch.setattr(http_client, "MAX_BODY_BYTES", 1)
     assert failure_of(WHOLE).reason == "body-too-large"
 
 
-def test_call_on_a_connection_closed_meanwhile_is_never_repeated():
+def test_call_on_a_closed_kept_alive_connection_is_not_retried():
     with client_of([WHOLE, b""], [WHOLE]) as (client, server):
         client.call("GET", "/", timeout_s=WAIT_S)
         with pytest.raises(exceptions.BackendFailed) as caught:
@@ -135,7 +139,7 @@
         assert server.calls == 2
 
 
-def test_fresh_call_takes_a_connection_of_its_own():
+def test_call_on_a_new_connection_leaves_idle_ones_alone():
     with client_of([WHOLE, WHOLE], [WHOLE, WHOLE]) as (client, server):
         client.call("GET", "/", timeout_s=WAIT_S)
         response = client.open(
@@ -153,7 +157,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "kind", "told"),
+    ("status", "kind", "expected"),
     [
         (429, exceptions.Refused, verdict.Verdict.NOT_RUN),
         (400, exceptions.BadRequest, verdict.Verdict.NOT_RUN),
@@ -164,18 +168,18 @@
         (302, exceptions.BackendFailed, MAY_HAVE_RUN),
     ],
 )
-def test_status_has_its_verdict(status, kind, told):
+def test_error_status_maps_to_exception_and_verdict(status, kind, expected):
     headers = responses.Headers({"Retry-After": "3"})
     answer = responses.HttpResponse(status, headers, b"why")
     with pytest.raises(kind, match="why") as caught:
         responses.check_status(answer, "engine")
-    assert caught.value.verdict == told
+    assert caught.value.verdict == expected
 
 
 @pytest.mark.parametrize(
     ("text", "seconds"),
     [("3", 3.0), ("", None), ("-1", None), ("nan", None), ("Wed, 21", None)],
 )
-def test_retry_after_is_whole_seconds_or_left_out(text, seconds):
+def test_retry_after_accepts_only_whole_seconds(text, seconds):
     headers = responses.Headers({"Retry-After": text})
     assert responses.retry_after_s(headers) == seconds
--- a/packages/outside/tests/adapters/test_outside.py
+++ b/packages/outside/tests/adapters/test_outside.py
@@ -1,4 +1,4 @@
-"""The smaller adapters against their stand-ins."""
+"""Tests of the smaller adapters against their stand-ins."""
 
 import typing
 
@@ -32,7 +32,7 @@
     return kind.from_config(Section(addresses, addresses[0]))
 
 
-def test_vm_list_lags():
+def test_vm_list_returns_what_its_lagging_server_lists():
     vms = [vmlist.Vm("a", "127.0.0.1", "kamnik-hall")]
     with vmlist.VmList(vms) as standin:
         adapter = adapt(http_vmlist.HttpVmList, standin)
@@ -46,7 +46,7 @@
         adapter.close()
 
 
-def test_weight_store_lists_and_limits():
+def test_weight_store_lists_versions_and_limits_downloads():
     now = clock.ManualClock()
     store = weightstore.WeightStore(
         {"planner": ["1"]}, rate=1, burst=2, clock=now
@@ -68,7 +68,7 @@
         adapter.close()
 
 
-def test_first_address_that_can_be_reached_is_used():
+def test_unreachable_address_is_skipped():
     dead = vmlist.VmList()
     with vmlist.VmList() as live:
         adapter = adapt(http_vmlist.HttpVmList, dead, live)
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("kind", ["missing", "differing"])
-def test_scores_that_do_not_fit_are_an_error(scores, kind):
+def test_missing_or_contradictory_scores_are_an_error(scores, kind):
     adapter = adapt(http_scorer.HttpScorer, scores)
     scores.faults.add(faults.Fault(kind))
     with pytest.raises(exceptions.BackendFailed):
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize(
     ("kind", "ran"), [("lost-before-effect", 0), ("lost-after-effect", 1)]
 )
-def test_lost_plain_answer_may_have_run(service, kind, ran):
+def test_plain_call_with_lost_response_may_have_run(service, kind, ran):
     adapter = adapt(http_plain.HttpPlain, service)
     service.faults.add(faults.Fault(kind))
     with pytest.raises(exceptions.BackendFailed) as caught:
@@ -141,7 +141,7 @@
     adapter.close()
 
 
-def test_server_error_after_the_run_is_passed_on(service):
+def test_server_error_after_the_run_is_returned(service):
     adapter = adapt(http_plain.HttpPlain, service)
     service.faults.add(faults.Fault("error-after-effect"))
     response, _ = notify(adapter)
@@ -150,7 +150,7 @@
     adapter.close()
 
 
-def test_service_that_is_down_has_not_run(service):
+def test_call_to_a_stopped_service_has_not_run(service):
     adapter = adapt(http_plain.HttpPlain, service)
     service.close()
     with pytest.raises(exceptions.BackendFailed) as caught:
--- a/packages/outside/tests/adapters/test_sse_engine.py
+++ b/packages/outside/tests/adapters/test_sse_engine.py
@@ -1,4 +1,4 @@
-"""The engine adapter against the engine stand-in."""
+"""Tests of the engine adapter against the engine stand-in."""
 
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import verdict
@@ -37,14 +37,14 @@
     return list(engine.generate(attempt_id, body, timeout_s=WAIT_S))
 
 
-def test_whole_stream_ends_with_a_finish(engine):
+def test_complete_stream_ends_with_a_finish(engine):
     *tokens, finish = generate(engine)
     assert "".join(piece.text for piece in tokens) == TEXT
     assert {piece.version for piece in tokens} == {"1"}
     assert finish == ports.Finish("length", 8)
 
 
-def test_cut_stream_never_looks_whole(engine, standin):
+def test_truncated_stream_raises_and_has_no_finish(engine, standin):
     standin.faults.add(faults.Fault("cut", amount=3))
     pieces = []
     with pytest.raises(exceptions.BackendFailed) as caught:
@@ -55,7 +55,7 @@
     assert not any(isinstance(piece, ports.Finish) for piece in pieces)
 
 
-def test_crash_then_refused_connection_is_not_run(engine, standin):
+def test_connection_refused_after_a_crash_has_not_run(engine, standin):
     crash = faults.Fault("crash", amount=2, seconds=30)
     standin.immediate_by_kind["crash"](crash)
     with pytest.raises(exceptions.BackendFailed):
@@ -68,7 +68,7 @@
     assert caught.value.verdict == verdict.Verdict.NOT_RUN
 
 
-def test_error_after_the_run_may_have_run(engine, standin):
+def test_server_error_may_have_run(engine, standin):
     standin.faults.add(faults.Fault("error-after-run"))
     with pytest.raises(exceptions.BackendFailed) as caught:
         generate(engine)
@@ -76,7 +76,7 @@
     assert standin.record.lines("finish")[0]["tokens"] == 8
 
 
-def test_stuck_engine_times_out(engine, standin):
+def test_hung_engine_times_out(engine, standin):
     standin.immediate_by_kind["stuck"](faults.Fault("stuck"))
     with pytest.raises(exceptions.Timeout):
         list(engine.generate("a", BODY, timeout_s=0.2))
@@ -118,14 +118,14 @@
     )
 
 
-def test_resume_without_a_cache_is_not_run(engine):
+def test_resume_without_an_exported_cache_has_not_run(engine):
     body = {"prompt": "p", "resume": {"tokens": 2}}
     with pytest.raises(exceptions.Conflict) as caught:
         generate(engine, "a", body)
     assert caught.value.verdict == verdict.Verdict.NOT_RUN
 
 
-def test_orders_are_carried_out_and_fenced(engine):
+def test_orders_are_executed_and_fenced(engine):
     engine.order(ports.Order("load", "2", 5), timeout_s=WAIT_S)
     engine.order(ports.Order("activate", "2", 5), timeout_s=WAIT_S)
     assert engine.load(timeout_s=WAIT_S).version == "2"
@@ -149,8 +149,8 @@
     assert engine.events(3, timeout_s=WAIT_S) == []
 
 
-class SpoiltEngine(standins.StandIn):
-    """Streams the events that it is given."""
+class InvalidStreamEngine(standins.StandIn):
+    """Engine that streams the given events, valid or not."""
 
     name = "engine"
 
@@ -186,9 +186,9 @@
         [TEXT_EVENT.replace('"stop"', "null"), "[DONE]"],
     ],
 )
-def test_spoilt_stream_is_an_error(events):
-    with SpoiltEngine(*events) as spoilt:
-        adapter = sse_engine.SseEngine(http_client.HttpClient(spoilt.address))
+def test_invalid_stream_is_an_error(events):
+    with InvalidStreamEngine(*events) as standin:
+        adapter = sse_engine.SseEngine(http_client.HttpClient(standin.address))
         with pytest.raises(exceptions.BackendFailed) as caught:
             generate(adapter)
         adapter.close()
