--- a/packages/outside/tests/adapters/test_http_client.py
+++ b/packages/outside/tests/adapters/test_http_client.py
@@ -51,18 +51,18 @@
             for script in scripts:
                 connection, _ = self._listener.accept()
                 self._held.append(connection)
-                self._start(self._answer, (connection, script))
+                self._start(self._respond, (connection, script))
 
-    def _answer(self, work):
+    def _respond(self, work):
         connection, script = work
         with contextlib.suppress(OSError):
-            for answer in script:
+            for response in script:
                 if not connection.recv(1 << 16):
                     break
                 self.calls += 1
-                if answer is None:
+                if response is None:
                     return
-                connection.sendall(answer)
+                connection.sendall(response)
             connection.shutdown(socket.SHUT_RDWR)
 
 
@@ -75,8 +75,8 @@
     server.close()
 
 
-def failure_of(*answers, timeout_s=WAIT_S):
-    with client_of(answers) as (client, _):
+def failure_of(*script, timeout_s=WAIT_S):
+    with client_of(script) as (client, _):
         with pytest.raises(exceptions.AnvilwellError) as caught:
             client.call("POST", "/", body=b"x", timeout_s=timeout_s)
         return caught.value
@@ -84,13 +84,13 @@
 
 def test_complete_response_is_returned():
     with client_of([WHOLE]) as (client, _):
-        answer = client.call("GET", "/", timeout_s=WAIT_S)
-    assert answer.status == 200
-    assert answer.body == b"ok"
+        response = client.call("GET", "/", timeout_s=WAIT_S)
+    assert response.status == 200
+    assert response.body == b"ok"
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"",
         b"not HTTP at all\r\n\r\n",
@@ -105,8 +105,8 @@
         HEAD + b"\r\nends with the connection",
     ],
 )
-def test_call_with_broken_response_may_have_run(answer):
-    error = failure_of(answer)
+def test_call_with_broken_response_may_have_run(response):
+    error = failure_of(response)
     assert isinstance(error, exceptions.BackendFailed)
     assert error.verdict == MAY_HAVE_RUN
 
@@ -170,9 +170,9 @@
 )
 def test_error_status_maps_to_exception_and_verdict(status, kind, expected):
     headers = responses.Headers({"Retry-After": "3"})
-    answer = responses.HttpResponse(status, headers, b"why")
+    response = responses.HttpResponse(status, headers, b"why")
     with pytest.raises(kind, match="why") as caught:
-        responses.check_status(answer, "engine")
+        responses.check_status(response, "engine")
     assert caught.value.verdict == expected
 
 
