--- a/packages/decisions/anvilwell_decisions/capacity/__init__.py
+++ b/packages/decisions/anvilwell_decisions/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity worked out from measured slopes."""
+"""Calculates the capacity that a fleet needs from measured costs."""
--- a/packages/decisions/anvilwell_decisions/capacity/assumptions.py
+++ b/packages/decisions/anvilwell_decisions/capacity/assumptions.py
@@ -1,8 +1,8 @@
-"""What the figures take for granted and nobody has stated.
+"""Assumptions that the capacity figures rest on.
 
-Each is named on the capacity page. The limits of the key-value service
-are the users' own words: several hundred writes and about two thousand
-reads a second.
+None of them was stated as a requirement, except the limits of the key-value
+service: users gave several hundred writes and about two thousand reads a
+second. The capacity page lists all of them by name.
 """
 
 KEYVALUE_WRITES_S = 300.0
@@ -10,32 +10,34 @@
 KEYVALUE_WATCHES = 200.0
 KEYVALUE_VALUE_BYTES = 1e6
 
-# Most of a core that a daemon of one process can spend on its data path.
+# Cores that a daemon can use for its data path; it is a single process.
 DATA_PATH_CORES = 1.0
-# Tokens a second of one stream, so that open streams follow from load.
+# Tokens a second of one stream; gives the number of open streams of a load.
 STREAM_TOKENS_S = 50.0
-# Agents of each service that an entry needs links to.
+# Agents of each service that an entry must at least be connected to.
 LINKS_A_SERVICE = 3.0
-# Bytes of websocket, TCP and IP around each message.
+# Bytes of the websocket, TCP and IP headers of each message.
 HEADER_BYTES = 46.0
-# Share of the requests that must not be repeated.
+# Share of requests that must not be executed twice and so need a claim: the
+# expected share and a larger one.
 CLAIM_SHARE = 0.001
 HARD_CLAIM_SHARE = 0.01
-# Entries of a run's log for each sample: chosen, and acknowledged.
+# Entries in a run's log for each sample: one for the choice of its result and
+# one for the acknowledgement.
 LOG_ENTRIES_SAMPLE = 2.0
-# State changes of a member that is replaced: leaving, dead, live.
+# Membership changes for each VM that is replaced: leaving, dead, live.
 CHANGES_REPLACED = 3.0
-# Seconds that an engine takes to swap to a version that it has loaded.
+# Seconds that an engine needs to activate a version that it has loaded.
 ENGINE_SWAP_S = 2.0
-# Share of replicas that stays in service during a swap.
+# Share of replicas that stay in service during a rollout.
 LIVE_FLOOR = 0.5
-# VMs of one rack.
+# VMs in one rack.
 RACK_VMS = 40.0
-# Bytes of a generated sample.
+# Size of a generated sample in bytes.
 SAMPLE_BYTES = 32_000.0
-# Bytes of a token's text.
+# Size of the text of one token in bytes.
 TOKEN_BYTES = 4.0
 # Members of the largest service, as a share of the replicas.
 LARGEST_SERVICE = 0.5
-# One GiB of weights for each accelerator of a replica.
+# Weights of a replica in GiB, one for each of its accelerators.
 REPLICA_WEIGHT_GIB = 8.0
--- a/packages/decisions/anvilwell_decisions/capacity/data.py
+++ b/packages/decisions/anvilwell_decisions/capacity/data.py
@@ -1,4 +1,4 @@
-"""The committed file of measured slopes."""
+"""Reads the committed file of measured costs."""
 
 import importlib.resources
 
@@ -11,7 +11,7 @@
 
 
 class RawLine(typing_extensions.TypedDict):
-    """One act's raw points, ``[size, value]`` each."""
+    """The raw points measured for one act, each as ``[size, value]``."""
 
     act: str
     grows_with: str
@@ -20,7 +20,7 @@
 
 
 class Measurement(typing_extensions.TypedDict):
-    """What one run of the slopes measured, and where."""
+    """The results of one measuring run, with its environment."""
 
     machine: str
     python: str
@@ -38,7 +38,7 @@
 
 
 def lines_by_name(measurement):
-    """Return the fitted lines of `measurement`."""
+    """Return the lines fitted to the points of `measurement`, by name."""
     return {
         name: lines.Line.from_points(name, **raw)
         for name, raw in measurement["lines_by_name"].items()
--- a/packages/decisions/anvilwell_decisions/capacity/lines.py
+++ b/packages/decisions/anvilwell_decisions/capacity/lines.py
@@ -1,34 +1,36 @@
-"""Measured costs as straight lines in the size they grow with."""
+"""Models measured costs as linear functions of a size."""
 
 import statistics
 import typing
 
 
 class Point(typing.NamedTuple):
-    """One measured value at one size; repeats share a size."""
+    """A value measured at a size; each repeat has the same sizes."""
 
     size: float
     value: float
 
 
 class Line(typing.NamedTuple):
-    """The cost of one recurring act, fitted to measured points.
+    """The cost of a recurring act, as a line fitted to measured points.
 
     Attributes
     ----------
     name : str
         Key of the act, such as ``entry.route.cpu``.
     act : str
-        What is done, for people.
+        Description of the act.
     grows_with : str
-        What the size counts.
+        Description of the size.
     unit : str
         Unit of the value.
     slope, intercept : float
-        Value is ``intercept + slope * size``.
+        The value is ``intercept + slope * size``.
     spread : float
-        Half the range of the slopes of single repeats, in the slope's
-        unit.
+        Half the range of the slopes fitted to single repeats, in the unit of
+        the slope.
+    points : tuple of Point
+        The measured points.
     """
 
     name: str
@@ -42,7 +44,7 @@
 
     @classmethod
     def from_points(cls, name, act, grows_with, unit, points):
-        """Fit a line to `points`, a sequence of `Point`."""
+        """Fit a line to `points`, a sequence of ``(size, value)``."""
         points = tuple(Point(*point) for point in points)
         slope, intercept = _fit(points)
         return cls(
@@ -74,7 +76,7 @@
 
 
 def _repeats(points):
-    """Return the points as one list for each repeat of all sizes."""
+    """Group the points by repeat; each group has one point per size."""
     values_by_size = {}
     for point in points:
         values_by_size.setdefault(point.size, []).append(point)
--- a/packages/decisions/anvilwell_decisions/capacity/plan.py
+++ b/packages/decisions/anvilwell_decisions/capacity/plan.py
@@ -1,4 +1,4 @@
-"""All rows of a fleet."""
+"""Calculates all capacity rows of a fleet."""
 
 import itertools
 
@@ -30,9 +30,9 @@
 
 
 def rows(fleet, lines_by_name):
-    """Return the `rows.Row` of every figure, in the order of roles."""
+    """Return a `rows.Row` for every figure, ordered by role."""
     return [
-        capacity_rows.work_out(figure, fleet, lines_by_name)
+        capacity_rows.compute_row(figure, fleet, lines_by_name)
         for figure in FIGURES
     ]
 
--- a/packages/decisions/anvilwell_decisions/capacity/roles/__init__.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The rows of each role, one module a role."""
+"""The figures of each role, in one module each."""
--- a/packages/decisions/anvilwell_decisions/capacity/roles/agent.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/agent.py
@@ -1,4 +1,4 @@
-"""What an agent beside a backend server holds and spends."""
+"""Capacity figures of an agent."""
 
 import math
 
@@ -9,17 +9,18 @@
 from anvilwell_decisions.capacity import target
 
 ROLE = "agent"
+# Requests that wait at an agent, on which the cost of admission depends.
 QUEUED = 64
 _US = 1e6
 
 
 def replicas_a_daemon(fleet):
-    """Return the replicas behind one daemon if agents are shared."""
+    """Return the replicas of one daemon if daemons have both roles."""
     return math.ceil(fleet.replicas / fleet.entries)
 
 
 def tokens_s(fleet, lines):
-    """Return tokens a second of one replica."""
+    """Return the tokens a second of one replica."""
     return fleet.tokens_s / fleet.replicas
 
 
@@ -29,12 +30,12 @@
 
 
 def links(fleet):
-    """Return how many entries link to one agent."""
+    """Return the mean number of entries connected to one agent."""
     return fleet.entries * entry.subset_links(fleet) / fleet.replicas
 
 
 def data_path_cores(fleet, lines):
-    """Return cores of one agent for the tokens of its replica."""
+    """Return the cores that one agent needs for its data path."""
     message_us = lines["agent.tokens.cpu"].at(25)
     requests_us = (fleet.requests_s / fleet.replicas) * (
         lines["link.request.cpu"].at(fleet.body_bytes)
@@ -44,27 +45,27 @@
 
 
 def shared_cores(fleet, lines):
-    """Return data path cores of a daemon that has both roles."""
+    """Return the cores for the data path of a daemon with both roles."""
     agents = replicas_a_daemon(fleet) * data_path_cores(fleet, lines)
     return entry.data_path_cores(fleet, lines) + agents
 
 
 def control_bytes_s(fleet, lines):
-    """Return all control bytes a second of one agent."""
+    """Return the control bytes a second of one agent."""
     return control.bytes_s(fleet, lines) + entry.link_bytes_s(
         links(fleet), lines
     )
 
 
 def control_cpu_share(fleet, lines):
-    """Return all control CPU of one agent, in cores."""
+    """Return the cores that one agent needs for control."""
     return control.cpu_share(fleet, lines) + entry.link_cpu_share(
         links(fleet), lines
     )
 
 
 def memory_bytes(fleet, lines):
-    """Return the memory of an agent with its streams."""
+    """Return the memory of an agent, open streams included."""
     streams = tokens_s(fleet, lines) / assumptions.STREAM_TOKENS_S
     streams_bytes = streams * lines["link.streams.bytes"].slope
     return control.memory_bytes(fleet, lines) + streams_bytes
--- a/packages/decisions/anvilwell_decisions/capacity/roles/bad_days.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/bad_days.py
@@ -1,4 +1,4 @@
-"""What happens on the bad days, with figures."""
+"""Capacity figures under failures: lost racks, partitions and outages."""
 
 from anvilwell_decisions.capacity import assumptions
 from anvilwell_decisions.capacity.roles import configuration
@@ -12,80 +12,83 @@
 from anvilwell_decisions.rollout import grants
 
 ROLE = "bad days"
-CUT_S = 300.0
+# Durations of the network partition and the store outage in the figures.
+PARTITION_S = 300.0
 OUTAGE_S = 3600.0
+# Time for a lease to expire and for a candidate to see it.
 LEASE_WAIT_S = 15.0
+# Longest pause between two attempts to join.
 JOIN_LONGEST_DELAY_S = 4.0
 KEYVALUE_CALL_S = configuration.KEYVALUE_CALL_S
 _EDGES = 2 * rings.RINGS
 
 
 def _spread_s(lost, lines):
-    """Return seconds until `lost` deaths are known everywhere."""
+    """Return the seconds until all daemons know that `lost` VMs are dead."""
     return lines["membership.loss.time"].at(lost)
 
 
 def rack_s(fleet, lines):
-    """Return seconds until a rack's deaths are known everywhere."""
+    """Return the seconds until all daemons know of a lost rack."""
     return _spread_s(
         min(assumptions.RACK_VMS, domain_vms(fleet, lines)), lines
     )
 
 
 def domain_vms(fleet, lines):
-    """Return daemons that a failure domain takes along."""
+    """Return the daemons that are lost with a failure domain."""
     return fleet.daemons / fleet.failure_domains
 
 
 def domain_s(fleet, lines):
-    """Return seconds until a domain's deaths are known everywhere."""
+    """Return the seconds until all daemons know of a lost domain."""
     return _spread_s(domain_vms(fleet, lines), lines)
 
 
 def storm_bytes_s(fleet, lines):
-    """Return control bytes a second while much is lost or heals."""
+    """Return an entry's control bytes a second at the limit of updates."""
     record = lines["membership.news.bytes"].slope
     return entry.control_bytes_s(fleet, lines) + 2 * news.RATE_PER_S * record
 
 
 def storm_cpu_share(fleet, lines):
-    """Return control CPU of an entry while much is lost or heals."""
-    heard_s = 2 * news.RATE_PER_S
+    """Return an entry's cores for control at the limit of updates."""
+    updates_s = 2 * news.RATE_PER_S
     change_us = lines["membership.change.cpu"].at(fleet.daemons)
-    return entry.control_cpu_share(fleet, lines) + heard_s * change_us / 1e6
+    return entry.control_cpu_share(fleet, lines) + updates_s * change_us / 1e6
 
 
 def delayed_changes(fleet, lines):
-    """Return changes a day that meet an entry that has just failed."""
+    """Return the changes a day that fail as an entry has just failed."""
     entries_share = fleet.entries / fleet.daemons
     unknown_s = lines["membership.loss.time"].at(1)
     return fleet.failures_day * entries_share * unknown_s * fleet.changes_s
 
 
 def cut_load(fleet, lines):
-    """Return the load on what is left when a region is cut off."""
+    """Return the relative load of the other regions if one is cut off."""
     if fleet.regions == 1:
         return float("inf")
     return fleet.regions / (fleet.regions - 1)
 
 
 def refused_changes(fleet, lines):
-    """Return changes refused by name in a cut of five minutes."""
-    return fleet.changes_s * CUT_S
+    """Return the changes that are refused during a partition."""
+    return fleet.changes_s * PARTITION_S
 
 
 def heal_s(fleet, lines):
-    """Return seconds until both sides know each other again."""
+    """Return the seconds until both sides see all members again."""
     return _spread_s(fleet.daemons / fleet.regions, lines)
 
 
 def outage_starts(fleet, lines):
-    """Return daemons that start in an hour's outage."""
+    """Return the daemons that start during a store outage."""
     return OUTAGE_S * fleet.replaced_day / target.DAY_S
 
 
-def return_writes(fleet, lines):
-    """Return writes that wait when the service is back."""
+def recovery_writes(fleet, lines):
+    """Return the writes that are pending when the store recovers."""
     leaders = fleet.trainers + fleet.services
     return (
         outage_starts(fleet, lines)
@@ -94,45 +97,45 @@
     )
 
 
-def return_s(fleet, lines):
-    """Return seconds until the waiting writes have gone through."""
+def recovery_s(fleet, lines):
+    """Return the seconds until the pending writes are done."""
     rate_s = assumptions.KEYVALUE_WRITES_S - keyvalue.writes_s(
         assumptions.CLAIM_SHARE
     )(fleet, lines)
     if rate_s <= 0:
         return float("inf")
-    return LEASE_WAIT_S + return_writes(fleet, lines) / rate_s
+    return LEASE_WAIT_S + recovery_writes(fleet, lines) / rate_s
 
 
 def domain_restart_s(fleet, lines):
-    """Return seconds until a domain's daemons are in their lists."""
+    """Return the seconds until all daemons of a starting domain are listed."""
     daemons = domain_vms(fleet, lines)
     lists = min(fleet.services, daemons)
-    # Writers of one list land one after the other.
+    # Writes of the same list succeed only one after another.
     one_list_s = daemons * assumptions.LARGEST_SERVICE * 2 * KEYVALUE_CALL_S
     others_s = daemons / lists * 2 * KEYVALUE_CALL_S
     return one_list_s + others_s + JOIN_LONGEST_DELAY_S
 
 
 def replaced_s(fleet, lines):
-    """Return member records a second that replacements cause."""
+    """Return the member updates a second that replaced VMs cause."""
     return assumptions.CHANGES_REPLACED * fleet.replaced_day / target.DAY_S
 
 
 def push_domain_loads_s(fleet, lines):
-    """Return seconds to load a lost domain's replicas once more."""
+    """Return the seconds to load the replicas of a domain again."""
     return fleet.replicas / fleet.failure_domains / grants.LOADS_PER_S
 
 
 def push_cut_s(fleet, lines):
-    """Return seconds until a region that heals has the new weights."""
+    """Return the seconds until a region that was cut off has new weights."""
     region = fleet.replicas / fleet.regions
     load_s = region / grants.LOADS_PER_S
     return heal_s(fleet, lines) + load_s + rollout.swap_s(fleet, lines)
 
 
-_NEWS = "token bucket of 64 records/s, burst 128; leaving goes first"
-_SLOWER = (
+_RATE_LIMIT = "token bucket of 64 records/s, burst 128; leaving goes first"
+_FASTER_SPREAD = (
     "the data path sees a dead link by itself after at most 4 s; records"
     " of a whole domain in one message would spread sooner"
 )
@@ -145,9 +148,9 @@
         rack_s,
         "loss(40 VMs)",
         ("membership.loss.time",),
-        _NEWS,
+        _RATE_LIMIT,
         3.0,
-        next_step=_SLOWER,
+        next_step=_FASTER_SPREAD,
     ),
     rows.Figure(
         ROLE,
@@ -166,10 +169,10 @@
         domain_s,
         "loss(daemons / domains)",
         ("membership.loss.time",),
-        _NEWS,
+        _RATE_LIMIT,
         3.0,
         rows.Reading.APART,
-        _SLOWER,
+        _FASTER_SPREAD,
     ),
     rows.Figure(
         ROLE,
@@ -178,7 +181,7 @@
         storm_bytes_s,
         "entry's control + 2 x 64/s x record",
         ("membership.news.bytes", "entry.reports.bytes"),
-        _NEWS,
+        _RATE_LIMIT,
         target.BUDGET.bytes_s,
         rows.Reading.APART,
         "fewer load reports, as above; then the bound itself",
@@ -190,7 +193,7 @@
         storm_cpu_share,
         "entry's control + 2 x 64/s x change",
         ("membership.change.cpu", "control.messages.cpu"),
-        _NEWS,
+        _RATE_LIMIT,
         target.BUDGET.cpu_share,
         rows.Reading.APART,
         entry.FEWER_REPORTS,
@@ -248,7 +251,7 @@
         ROLE,
         "the service is back: waiting writes",
         "writes",
-        return_writes,
+        recovery_writes,
         "starts + 2 x leaderships + 60 chunks a run",
         (),
         "daemons at rest write nothing; claims were refused as not run",
@@ -257,7 +260,7 @@
         ROLE,
         "the service is back: leaders lead and writes are through",
         "s",
-        return_s,
+        recovery_s,
         "15 s of lease and look + waiting writes / (300/s - usual)",
         ("keyvalue.lease.writes", "claims.apart.writes"),
         "random pauses that double; group commit",
@@ -310,7 +313,7 @@
         ROLE,
         "a weight push while the key-value service is down: delay",
         "s",
-        lambda fleet, lines: OUTAGE_S + return_s(fleet, lines),
+        lambda fleet, lines: OUTAGE_S + recovery_s(fleet, lines),
         "outage + the row on its return",
         ("keyvalue.lease.writes",),
         "no lease, no order: no version changes in the outage",
--- a/packages/decisions/anvilwell_decisions/capacity/roles/configuration.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/configuration.py
@@ -1,57 +1,60 @@
-"""Changes of configuration: proposer, relays and members."""
+"""Capacity figures of configuration changes."""
 
 from anvilwell_decisions.capacity import assumptions
 from anvilwell_decisions.capacity import rows
 from anvilwell_decisions.capacity import target
 
 ROLE = "configuration"
+# Round trips between regions for one change.
 ROUND_TRIPS = 3
+# Duration of one call to the key-value service.
 KEYVALUE_CALL_S = 0.01
-REGION_TRIP_S = 0.2
+# Duration of a round trip between two regions.
+REGION_ROUND_TRIP_S = 0.2
 _US = 1e6
 
 
 def members(fleet):
-    """Return the members that must prepare a change of the largest."""
+    """Return the members that prepare a change of the largest service."""
     return fleet.entries + assumptions.LARGEST_SERVICE * fleet.replicas
 
 
 def changes_s(fleet, lines):
-    """Return changes a second."""
+    """Return the changes a second."""
     return fleet.changes_s
 
 
 def in_force_s(fleet, lines):
-    """Return seconds from proposal to in force at the last member."""
+    """Return the seconds until a proposed change is in force everywhere."""
     count = members(fleet)
     message_s = lines["control.messages.cpu"].slope / _US
     relay_s = 2 * count / fleet.failure_domains * message_s
     decide_s = lines["configuration.propose.cpu"].at(count) / _US
     calls_s = 4 * KEYVALUE_CALL_S
-    trips_s = ROUND_TRIPS * REGION_TRIP_S
+    trips_s = ROUND_TRIPS * REGION_ROUND_TRIP_S
     return calls_s + decide_s + 2 * relay_s + trips_s
 
 
 def proposer_cpu_share(fleet, lines):
-    """Return cores of one entry if it proposed every change."""
+    """Return the cores of an entry if it proposes every change."""
     propose = lines["configuration.propose.cpu"].at(members(fleet))
     return fleet.changes_s * propose / _US
 
 
 def relay_bytes_s(fleet, lines):
-    """Return bytes a second of a domain's relay, were it always one."""
+    """Return the bytes a second of a daemon that relays every change."""
     count = members(fleet) / fleet.failure_domains
     prepare = lines["configuration.prepare.bytes"]
     commit = lines["configuration.commit.bytes"]
-    passed_on = count * (prepare.at(1) + commit.at(1))
+    forwarded = count * (prepare.at(1) + commit.at(1))
     received = prepare.at(count) + commit.at(count)
     answers = count * 2 * assumptions.HEADER_BYTES
     headers = 2 * count * assumptions.HEADER_BYTES
-    return fleet.changes_s * (passed_on + received + answers + headers)
+    return fleet.changes_s * (forwarded + received + answers + headers)
 
 
 def accept_bytes(fleet, lines):
-    """Return bytes of the accepting write of the largest service."""
+    """Return the bytes of the accepting write of the largest service."""
     return lines["configuration.accept.bytes"].at(members(fleet))
 
 
--- a/packages/decisions/anvilwell_decisions/capacity/roles/control.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/control.py
@@ -1,4 +1,4 @@
-"""Control cost of a daemon, whatever its role."""
+"""Capacity figures of the control traffic of every daemon."""
 
 import math
 
@@ -10,75 +10,76 @@
 from anvilwell_decisions.membership import rings
 
 ROLE = "every daemon"
-# Each heartbeat and each answer, started by this daemon or another.
-_MESSAGES_A_BEAT = 4
-_MESSAGES_AN_EXCHANGE = 4
+# A heartbeat and its answer, for those that this daemon sends and those that
+# it receives. The same applies to exchanges of configuration digests.
+_MESSAGES_PER_HEARTBEAT = 4
+_MESSAGES_PER_EXCHANGE = 4
 _EDGES = 2 * rings.RINGS
 _US = 1e6
 _MS = 1e3
 
 
 def messages_s(fleet, lines):
-    """Return control messages a second of one daemon, in and out."""
-    beats_s = rings.RINGS / detector.HEARTBEAT_PERIOD_S
+    """Return the control messages a second of one daemon, both ways."""
+    heartbeats_s = rings.RINGS / detector.HEARTBEAT_PERIOD_S
     exchanges_s = 1 / limits.Limits().exchange_s
     return (
-        _MESSAGES_A_BEAT * beats_s
-        + _MESSAGES_AN_EXCHANGE * exchanges_s
-        + _EDGES * _news_s(fleet)
+        _MESSAGES_PER_HEARTBEAT * heartbeats_s
+        + _MESSAGES_PER_EXCHANGE * exchanges_s
+        + _EDGES * _member_updates_s(fleet)
     )
 
 
 def bytes_s(fleet, lines):
-    """Return control bytes a second of one daemon, headers included."""
+    """Return the control bytes a second of one daemon, with headers."""
     exchanges_s = 1 / limits.Limits().exchange_s
     digest = lines["configuration.digest.bytes"].at(1)
     record = lines["membership.news.bytes"].slope
     return (
         2 * lines["membership.quiet.bytes"].at(fleet.daemons)
-        + _MESSAGES_AN_EXCHANGE * exchanges_s * digest
-        + _EDGES * _news_s(fleet) * record
+        + _MESSAGES_PER_EXCHANGE * exchanges_s * digest
+        + _EDGES * _member_updates_s(fleet) * record
         + _change_bytes_s(fleet, lines)
         + messages_s(fleet, lines) * assumptions.HEADER_BYTES
     )
 
 
 def cpu_share(fleet, lines):
-    """Return the share of a core that control takes."""
+    """Return the cores that one daemon needs for control."""
     decisions_us = (
         lines["membership.quiet.cpu"].at(fleet.daemons)
         + lines["configuration.digest.cpu"].at(fleet.services)
         + _EDGES
-        * _news_s(fleet)
+        * _member_updates_s(fleet)
         * lines["membership.change.cpu"].at(fleet.daemons)
     )
-    # The line counts both ends of a message; a daemon is one of them.
-    carrying_us = (
+    # The measured cost is that of both ends of a message.
+    messages_us = (
         messages_s(fleet, lines) * lines["control.messages.cpu"].slope / 2
     )
-    return (decisions_us + carrying_us) / _US
+    return (decisions_us + messages_us) / _US
 
 
 def memory_bytes(fleet, lines):
-    """Return the memory of a daemon that every role needs."""
+    """Return the memory that a daemon needs in every role."""
     base = lines["daemon.base.bytes"].slope
     return base + lines["membership.table.bytes"].at(fleet.daemons)
 
 
 def detection_s(fleet, lines):
-    """Return seconds until a leaving VM is known at every daemon."""
+    """Return the seconds until all daemons know that a VM leaves."""
     hops = math.log2(max(fleet.daemons, 2)) / math.log2(_EDGES - 1)
-    a_hop_s = lines["control.messages.cpu"].slope / _US + 0.1
-    return 1.0 + math.ceil(hops) * a_hop_s
+    hop_s = lines["control.messages.cpu"].slope / _US + 0.1
+    return 1.0 + math.ceil(hops) * hop_s
 
 
-def _news_s(fleet):
+def _member_updates_s(fleet):
     replaced = fleet.replaced_day + fleet.failures_day
     return assumptions.CHANGES_REPLACED * replaced / target.DAY_S
 
 
 def _change_bytes_s(fleet, lines):
-    """Return what a daemon gets of changes: prepare, commit, answers."""
+    """Return the bytes a second of prepares and commits, with answers."""
     prepare = lines["configuration.prepare.bytes"].at(1)
     commit = lines["configuration.commit.bytes"].at(1)
     return fleet.changes_s * 2 * (prepare + commit)
--- a/packages/decisions/anvilwell_decisions/capacity/roles/entry.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/entry.py
@@ -1,4 +1,4 @@
-"""What an entry holds and spends."""
+"""Capacity figures of an entry."""
 
 from anvilwell_decisions.capacity import assumptions
 from anvilwell_decisions.capacity.roles import control
@@ -7,75 +7,79 @@
 from anvilwell_decisions.requests import subsets
 
 ROLE = "entry"
+# Load reports a second on each link.
 REPORTS_S = 2.0
+# Time between two pings of one side of a link.
 PING_INTERVAL_S = 2.0
-# A ping and its answer, from each side.
+# Messages in each ping interval: a ping and its answer, from both sides.
 _PINGS = 4
 _PING_BYTES = 4
 _US = 1e6
+# Agents in the subset of a service to which an entry is connected.
 SUBSET = float(subsets.SubsetSettings().size)
 
 
 def requests_s(fleet, lines):
-    """Return requests a second of one entry."""
+    """Return the requests a second of one entry."""
     return fleet.requests_s / fleet.entries
 
 
 def tokens_s(fleet, lines):
-    """Return tokens a second that one entry relays."""
+    """Return the tokens a second that one entry relays."""
     return fleet.tokens_s / fleet.entries
 
 
 def open_streams(fleet, lines):
-    """Return streams open at a time at one entry."""
+    """Return the mean number of open streams of one entry."""
     return tokens_s(fleet, lines) / assumptions.STREAM_TOKENS_S
 
 
 def link_bytes_s(links, lines):
-    """Return bytes a second of reports and pings of `links` links."""
+    """Return the bytes a second of reports and pings on `links` links."""
     report = lines["entry.reports.bytes"].slope + assumptions.HEADER_BYTES
     ping = _PING_BYTES + assumptions.HEADER_BYTES
     return links * (REPORTS_S * report + _PINGS * ping / PING_INTERVAL_S)
 
 
 def link_cpu_share(links, lines):
-    """Return the share of a core that reports and pings take."""
+    """Return the cores for reports and pings on `links` links."""
     message_us = lines["control.messages.cpu"].slope / 2
     report_us = lines["entry.reports.cpu"].slope + message_us
     pings_s = _PINGS / PING_INTERVAL_S
-    # A ping is at most a message without a typed body.
+    # The cost of a ping is not measured; that of a message is an upper bound.
     return links * (REPORTS_S * report_us + pings_s * message_us) / _US
 
 
 def service_links(fleet):
-    """Return how many agents one entry links to: a subset a service."""
+    """Return the links of one entry with a full subset of each service."""
     service = fleet.replicas / fleet.services
     return fleet.services * min(SUBSET, service)
 
 
 def subset_links(fleet):
-    """Return how many agents one entry would link to, bounded in all.
+    """Return the links of one entry if their total is limited.
 
-    A subset in all, but some agents of each service at least.
+    The limit is the size of one subset, but at least some agents of each
+    service.
     """
     wanted = max(SUBSET, assumptions.LINKS_A_SERVICE * fleet.services)
     return min(wanted, fleet.replicas)
 
 
 def control_bytes_s(fleet, lines):
-    """Return all control bytes a second of an entry."""
+    """Return the control bytes a second of an entry."""
     links = link_bytes_s(subset_links(fleet), lines)
     return control.bytes_s(fleet, lines) + links
 
 
 def control_cpu_share(fleet, lines):
-    """Return all control CPU of an entry, in cores."""
+    """Return the cores that an entry needs for control."""
     links = link_cpu_share(subset_links(fleet), lines)
     return control.cpu_share(fleet, lines) + links
 
 
 def memory_bytes(fleet, lines):
-    """Return the memory of an entry with its open streams."""
+    """Return the memory of an entry, open streams included."""
     return (
         control.memory_bytes(fleet, lines)
         + lines["entry.replica.bytes"].at(subset_links(fleet))
@@ -84,7 +88,7 @@
 
 
 def data_path_cores(fleet, lines):
-    """Return cores for frames and events of the relayed tokens."""
+    """Return the cores that an entry needs for its data path."""
     messages_s = tokens_s(fleet, lines) / 25
     answers_us = messages_s * lines["entry.messages.cpu"].slope
     requests_us = requests_s(fleet, lines) * (
@@ -95,12 +99,12 @@
 
 
 def service_links_bytes_s(fleet, lines):
-    """Return bytes a second of reports with a subset of each service."""
+    """Return the link bytes a second with a full subset of each service."""
     return link_bytes_s(service_links(fleet), lines)
 
 
 def service_links_cpu_share(fleet, lines):
-    """Return the CPU of reports with a subset of each service."""
+    """Return the cores for links with a full subset of each service."""
     return link_cpu_share(service_links(fleet), lines)
 
 
--- a/packages/decisions/anvilwell_decisions/capacity/roles/keyvalue.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/keyvalue.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's key-value service, by what asks for them."""
+"""Capacity figures of the key-value service, by purpose of its calls."""
 
 from anvilwell_decisions.capacity import assumptions
 from anvilwell_decisions.capacity import rows
@@ -7,33 +7,38 @@
 from anvilwell_decisions.samples import chunks
 
 ROLE = "key-value service"
-LOOK_S = 5.0
-STANDING = 2
+# Time between the reads of a lease by a candidate.
+POLL_INTERVAL_S = 5.0
+# Daemons that are candidates for each leadership.
+CANDIDATES = 2
 _MINUTE_S = 60.0
-_READS_A_CHANGE = 3
-_READS_A_START = 2
+_READS_PER_CHANGE = 3
+_READS_PER_START = 2
 
 
 def lease_writes_s(fleet, lines):
-    """Return renewals a second: a leader for each run and service."""
+    """Return the lease renewals a second; runs and services have leaders."""
     leaders = fleet.trainers + fleet.services
     return leaders * lines["keyvalue.lease.writes"].slope / _MINUTE_S
 
 
 def chunk_writes_s(fleet, lines):
-    """Return chunk writes a second of all runs."""
+    """Return the chunks a second that all runs write."""
     entries = assumptions.LOG_ENTRIES_SAMPLE * fleet.samples_step
-    a_run = entries / fleet.step_s
-    return fleet.trainers * min(a_run, 1 / chunks.COMMIT_INTERVAL_S)
+    entries_s = entries / fleet.step_s
+    return fleet.trainers * min(entries_s, 1 / chunks.COMMIT_INTERVAL_S)
 
 
 def configuration_writes_s(fleet, lines):
-    """Return writes a second of changes and starts."""
+    """Return the writes a second for changes and starts of daemons."""
     return fleet.changes_s + _starts_s(fleet)
 
 
 def claim_writes_s(share):
-    """Return a function for writes a second of claims."""
+    """Return a function for the writes a second of claims.
+
+    `share` is the share of requests that need a claim.
+    """
 
     def value(fleet, lines):
         keys_s = share * fleet.requests_s
@@ -43,7 +48,7 @@
 
 
 def writes_s(share):
-    """Return a function for all writes a second."""
+    """Return a function for all writes a second, given the share of claims."""
     claims = claim_writes_s(share)
 
     def value(fleet, lines):
@@ -59,18 +64,20 @@
 
 def reads_s(fleet, lines):
     """Return all reads a second."""
-    standing = STANDING * (fleet.services + fleet.trainers) / LOOK_S
-    configuration = _READS_A_CHANGE * fleet.changes_s
-    return standing + configuration + _READS_A_START * _starts_s(fleet)
+    lease_polls_s = (
+        CANDIDATES * (fleet.services + fleet.trainers) / POLL_INTERVAL_S
+    )
+    configuration = _READS_PER_CHANGE * fleet.changes_s
+    return lease_polls_s + configuration + _READS_PER_START * _starts_s(fleet)
 
 
 def watches(fleet, lines):
-    """Return waiting watches."""
+    """Return the number of open watches."""
     return limits.WATCHERS_PER_DOMAIN * fleet.failure_domains
 
 
 def list_bytes(fleet, lines):
-    """Return bytes of the largest member list."""
+    """Return the bytes of the largest member list."""
     members = max(fleet.entries, assumptions.LARGEST_SERVICE * fleet.replicas)
     return lines["keyvalue.join.bytes"].at(members)
 
--- a/packages/decisions/anvilwell_decisions/capacity/roles/ledger.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/ledger.py
@@ -1,4 +1,4 @@
-"""The daemon that holds a run's ledger."""
+"""Capacity figures of the daemon that holds the ledger of a run."""
 
 from anvilwell_decisions.capacity import assumptions
 from anvilwell_decisions.capacity.roles import control
@@ -10,29 +10,29 @@
 
 
 def samples_s(fleet, lines):
-    """Return samples recorded a second by all runs."""
+    """Return the samples a second that all runs record."""
     return fleet.samples_s
 
 
 def tokens_share(fleet, lines):
-    """Return the share of all tokens that the samples need."""
+    """Return the share of all tokens that are generated for samples."""
     tokens = assumptions.SAMPLE_BYTES / assumptions.TOKEN_BYTES
     return fleet.samples_s * tokens / fleet.tokens_s
 
 
 def cpu_share(fleet, lines):
-    """Return the cores that one run's decisions take."""
+    """Return the cores that the decisions of one run need."""
     step_us = lines["ledger.step.cpu"].at(fleet.samples_step)
     return step_us / _US / fleet.step_s
 
 
 def step_burst_s(fleet, lines):
-    """Return CPU seconds of a step's decisions, were they all at once."""
+    """Return the CPU seconds of all decisions of one step."""
     return lines["ledger.step.cpu"].at(fleet.samples_step) / _US
 
 
 def memory_bytes(fleet, lines):
-    """Return memory of a holder with three steps and their texts."""
+    """Return the memory of a holder with three steps and their texts."""
     steps = 3
     texts = fleet.samples_step * assumptions.SAMPLE_BYTES
     held = steps * (lines["ledger.step.bytes"].at(fleet.samples_step) + texts)
@@ -40,13 +40,13 @@
 
 
 def copies_bytes_s(fleet, lines):
-    """Return bytes a second that a holder copies to another domain."""
-    a_run_s = fleet.samples_step / fleet.step_s
-    return a_run_s * assumptions.SAMPLE_BYTES
+    """Return the bytes a second that a holder copies to another domain."""
+    samples_per_s = fleet.samples_step / fleet.step_s
+    return samples_per_s * assumptions.SAMPLE_BYTES
 
 
 def written_bytes_s(fleet, lines):
-    """Return bytes a second of all runs' chunks."""
+    """Return the bytes a second of the chunks of all runs."""
     step = lines["ledger.step.written"].at(fleet.samples_step)
     return fleet.trainers * step / fleet.step_s
 
--- a/packages/decisions/anvilwell_decisions/capacity/roles/rollout.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/rollout.py
@@ -1,4 +1,4 @@
-"""The daemon that leads a service's weight rollout, and the 25 s."""
+"""Capacity figures of a weight rollout and of its leader."""
 
 import math
 
@@ -8,55 +8,63 @@
 from anvilwell_decisions.rollout import grants
 
 ROLE = "rollout"
-LOOK_S = 0.25
-SETTLED_LOOK_S = 2.0
-STATUS_S = 0.5
+# Time between ticks of a leader during a rollout, and once it is settled.
+POLL_INTERVAL_S = 0.25
+SETTLED_POLL_INTERVAL_S = 2.0
+# Time until the leader has the status of a replica that has swapped.
+STATUS_DELAY_S = 0.5
 RELAY_CONCURRENCY = 16
 _US = 1e6
 
 
 def orders_version(fleet, lines):
-    """Return orders for one version on all replicas."""
+    """Return the orders needed for one version on all replicas."""
     return lines["rollout.orders"].slope * fleet.replicas
 
 
 def leader_cpu_share(fleet, lines):
-    """Return cores of the largest service's leader in a rollout."""
+    """Return the cores of the largest service's leader in a rollout."""
     replicas = fleet.replicas * assumptions.LARGEST_SERVICE
-    return lines["rollout.tick.cpu"].at(replicas) / _US / LOOK_S
+    return lines["rollout.tick.cpu"].at(replicas) / _US / POLL_INTERVAL_S
 
 
 def settled_cpu_share(fleet, lines):
-    """Return cores of the same leader averaged over the period."""
+    """Return the leader's cores, averaged over the time between versions."""
     replicas = fleet.replicas * assumptions.LARGEST_SERVICE
     rolling = min(1.0, (fleet.swap_s + _load_s(fleet)) / fleet.weights_s)
     settled_us = lines["rollout.settled.cpu"].at(replicas)
-    settled = settled_us / _US / SETTLED_LOOK_S
+    settled = settled_us / _US / SETTLED_POLL_INTERVAL_S
     share = leader_cpu_share(fleet, lines)
     return share * rolling + settled * (1 - rolling)
 
 
 def leader_bytes_s(fleet, lines):
-    """Return bytes a second of the leader over the whole period."""
+    """Return the leader's bytes a second over the time between versions."""
     replicas = fleet.replicas * assumptions.LARGEST_SERVICE
     orders = lines["rollout.orders"].slope * replicas
-    # An order out, and a report of about its size back.
+    # Each order is answered by a report of about the same size.
     order = 2 * lines["rollout.batch.bytes"].slope
     return orders * order / fleet.weights_s
 
 
 def load_s(fleet, lines):
-    """Return seconds to load a version, one service of all replicas."""
+    """Return the seconds to load a version if one service has all replicas."""
     return lines["rollout.load.time"].slope * fleet.replicas
 
 
 def swap_s(fleet, lines):
-    """Return seconds from the document to the last replica."""
+    """Return the seconds from a new document until all replicas swapped."""
     waves = math.ceil(1 / (1 - assumptions.LIVE_FLOOR))
-    a_domain = fleet.replicas / fleet.failure_domains / waves
+    wave_replicas = fleet.replicas / fleet.failure_domains / waves
     message_s = lines["control.messages.cpu"].slope / _US
-    relay_s = 2 * a_domain * message_s
-    wave_s = LOOK_S + relay_s + assumptions.ENGINE_SWAP_S + STATUS_S + relay_s
+    relay_s = 2 * wave_replicas * message_s
+    wave_s = (
+        POLL_INTERVAL_S
+        + relay_s
+        + assumptions.ENGINE_SWAP_S
+        + STATUS_DELAY_S
+        + relay_s
+    )
     return fleet.spread_s + waves * wave_s
 
 
--- a/packages/decisions/anvilwell_decisions/capacity/roles/stores.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/stores.py
@@ -1,4 +1,4 @@
-"""The weight store and the links between regions."""
+"""Capacity figures of the weight store and of links between regions."""
 
 from anvilwell_decisions.capacity import assumptions
 from anvilwell_decisions.capacity.roles import control
@@ -8,47 +8,48 @@
 
 WEIGHTS = "weight store"
 REGIONS = "links between regions"
-_AHEAD_PERIOD_S = 10.0
+# Time between reads of the list of versions by a leader.
+_LIST_POLL_INTERVAL_S = 10.0
 
 
 def loads_s(fleet, lines):
-    """Return loads started a second while a version is loaded."""
+    """Return the loads started a second while a version is loaded."""
     return 1 / lines["rollout.load.time"].slope
 
 
 def mean_loads_s(fleet, lines):
-    """Return loads a second averaged over the time between versions."""
+    """Return the loads a second, averaged over the time between versions."""
     return fleet.replicas / fleet.weights_s
 
 
 def bytes_s(fleet, lines):
-    """Return GiB a second that the store gives, averaged."""
+    """Return the mean rate at which weights are read, in GiB a second."""
     return mean_loads_s(fleet, lines) * assumptions.REPLICA_WEIGHT_GIB
 
 
 def list_reads_s(fleet, lines):
-    """Return reads a second of the list of versions."""
-    return fleet.services / _AHEAD_PERIOD_S
+    """Return the reads a second of the list of versions."""
+    return fleet.services / _LIST_POLL_INTERVAL_S
 
 
 def membership_bytes_s(fleet, lines):
-    """Return control bytes a second that leave one region."""
+    """Return the control bytes a second that leave one region."""
     daemons = fleet.daemons / fleet.regions
-    abroad = 1 - 1 / fleet.regions
-    return daemons * abroad * control.bytes_s(fleet, lines) / 2
+    remote_share = 1 - 1 / fleet.regions
+    return daemons * remote_share * control.bytes_s(fleet, lines) / 2
 
 
 def report_bytes_s(fleet, lines):
-    """Return report bytes a second that leave one region."""
+    """Return the bytes a second of load reports that leave one region."""
     links = fleet.entries * entry.subset_links(fleet) / fleet.regions
-    abroad = 1 - 1 / fleet.regions
-    return abroad * entry.link_bytes_s(links, lines) / 2
+    remote_share = 1 - 1 / fleet.regions
+    return remote_share * entry.link_bytes_s(links, lines) / 2
 
 
 def token_bytes_s(fleet, lines):
-    """Return token bytes a second that leave one region, at worst."""
-    abroad = 1 - 1 / fleet.regions
-    tokens_s = fleet.tokens_s / fleet.regions * abroad
+    """Return the largest token bytes a second that leave one region."""
+    remote_share = 1 - 1 / fleet.regions
+    tokens_s = fleet.tokens_s / fleet.regions * remote_share
     return tokens_s / 25 * lines["link.tokens.bytes"].at(25)
 
 
--- a/packages/decisions/anvilwell_decisions/capacity/rows.py
+++ b/packages/decisions/anvilwell_decisions/capacity/rows.py
@@ -1,16 +1,18 @@
-"""Figures worked out of a fleet and the measured lines, as typed rows."""
+"""Calculates capacity figures from a fleet and measured lines."""
 
 import enum
 import typing
 
 from anvilwell_decisions.capacity import target as targets
 
+# Growth of the fleet up to which the breaking point is searched.
 LARGEST_FACTOR = 1000.0
+# Bisection steps of that search.
 _STEPS = 40
 
 
 class Verdict(enum.StrEnum):
-    """Whether a figure stays within its limit."""
+    """Whether a figure stays within its budget."""
 
     HOLDS = "holds"
     FAILS = "does not hold"
@@ -18,12 +20,12 @@
 
 
 class Reading(enum.StrEnum):
-    """What the daemons of the target are, as a row reads it.
+    """How the number of daemons in the target is interpreted.
 
-    ``SHARED``: agents are among them, each for several replicas, so
-    that a daemon has both roles. ``APART``: they are entries, and a
-    daemon stands beside each replica besides. ``EITHER`` where it makes
-    no difference.
+    ``SHARED``: it includes the agents. Each daemon is an entry and also the
+    agent of several replicas. ``APART``: all of them are entries, and each
+    replica has a daemon of its own as its agent in addition. ``EITHER``: the
+    figure is the same in both cases.
     """
 
     SHARED = "A"
@@ -32,28 +34,28 @@
 
 
 class Figure(typing.NamedTuple):
-    """How one figure is worked out.
+    """The definition of one figure.
 
     Attributes
     ----------
     role, what : str
-        Whose it is, and what.
+        The component that the figure is about, and what it counts.
     unit : str
         Unit of the value.
     value : callable
-        Takes a ``target.Fleet`` and the lines by name.
+        Takes a ``target.Fleet`` and the lines by name; returns the value.
     formula : str
-        The same for people.
+        The calculation in a readable form.
     slopes : tuple of str
-        Names of the lines it rests on.
+        Names of the lines that it is calculated from.
     mechanism : str
-        What carries it.
+        The design choice that determines the value.
     budget : float or None
-        Largest value allowed, None if none is given.
+        The largest allowed value, None if there is no limit.
     reading : Reading
-        The harder reading, for which it is worked out.
+        The interpretation that it is calculated for, the more demanding one.
     next_step : str
-        What to do once it does not hold.
+        What to do if the budget is exceeded.
     """
 
     role: str
@@ -69,11 +71,11 @@
 
 
 class Row(typing.NamedTuple):
-    """A figure for one fleet.
+    """The value of a figure for one fleet.
 
-    ``headroom`` is the budget over the value. ``breaks_at`` is how many
-    times the whole fleet and its load could grow before the value is
-    over its budget; infinite above `LARGEST_FACTOR`.
+    ``headroom`` is the budget divided by the value. ``breaks_at`` is the
+    factor by which the whole fleet and its load can grow before the value
+    exceeds the budget; it is infinite above `LARGEST_FACTOR`.
     """
 
     role: str
@@ -91,14 +93,14 @@
     next_step: str
 
 
-def work_out(figure, fleet, lines_by_name):
+def compute_row(figure, fleet, lines_by_name):
     """Return the `Row` of `figure` for `fleet`."""
     value = figure.value(fleet, lines_by_name)
     headroom, verdict, breaks_at = None, Verdict.STATED, None
     if figure.budget is not None:
         headroom = figure.budget / value if value else float("inf")
-        is_held = value <= figure.budget
-        verdict = Verdict.HOLDS if is_held else Verdict.FAILS
+        is_within_budget = value <= figure.budget
+        verdict = Verdict.HOLDS if is_within_budget else Verdict.FAILS
         breaks_at = _breaking_factor(figure, fleet, lines_by_name)
     return Row(
         figure.role,
@@ -118,7 +120,7 @@
 
 
 def _breaking_factor(figure, fleet, lines_by_name):
-    """Return the factor of growth at which the budget is reached."""
+    """Return the growth factor at which the budget is reached."""
 
     def is_within(factor):
         grown = targets.scaled(fleet, factor)
--- a/packages/decisions/anvilwell_decisions/capacity/target.py
+++ b/packages/decisions/anvilwell_decisions/capacity/target.py
@@ -1,4 +1,4 @@
-"""Sizes of a fleet: the two-year target, and today's deployments."""
+"""The size of a fleet: the two-year target and its budget."""
 
 import typing
 
@@ -6,33 +6,34 @@
 
 
 class Fleet(typing.NamedTuple):
-    """What a fleet has to carry at its peak.
+    """The size of a fleet and its peak load.
 
     Attributes
     ----------
     entries : int
-        Daemons before the replicas.
+        Daemons that face callers.
     replicas : int
-        Model engine replicas; one agent stands beside each.
+        Replicas of model engines; each has one agent.
     accelerators : int
-        Accelerators of all replicas.
+        Accelerators in all replicas.
     requests_s, tokens_s : float
         Requests and generated tokens a second.
     trainers, samples_step : int
-        Training runs, and samples in a step of each.
+        Number of training runs, and of samples in each of their steps.
     step_s : float
-        Seconds within which a step's samples are whole.
+        Seconds within which all samples of a step must be complete.
     weights_s, swap_s : float
-        Seconds between weight versions, and for one to be everywhere.
+        Seconds between weight versions, and until a version runs everywhere.
     changes_day : float
         Configuration changes a day.
     spread_s : float
-        Seconds in which a change is in force everywhere.
+        Seconds until a change is in force everywhere.
     regions, failure_domains, services : int
+        Numbers of each.
     failures_day, replaced_day : float
-        VMs that fail, and that are restarted or replaced, a day.
+        VMs a day that fail, and that are restarted or replaced.
     body_bytes : int
-        Mean bytes of a request body; our assumption.
+        Mean size of a request body; an assumption.
     """
 
     entries: int
@@ -56,7 +57,7 @@
 
     @property
     def daemons(self):
-        """All processes of the system, agents counted besides entries."""
+        """All daemons if agents run in processes of their own."""
         return self.entries + self.replicas
 
     @property
@@ -71,7 +72,7 @@
 
 
 class Budget(typing.NamedTuple):
-    """What a daemon may spend on control."""
+    """The resources that a daemon may use for control traffic."""
 
     cpu_share: float
     memory_bytes: int
@@ -117,7 +118,7 @@
 def scaled(fleet, factor):
     """Return `fleet` with its daemons and load `factor` times as large.
 
-    Regions, failure domains, the size of a step and the times stay.
+    The regions, failure domains, step size and times are not scaled.
     """
     return fleet._replace(
         **{name: getattr(fleet, name) * factor for name in _GROWING}
--- a/packages/decisions/tests/capacity/test_plan.py
+++ b/packages/decisions/tests/capacity/test_plan.py
@@ -15,7 +15,7 @@
 def test_headroom_and_breaking_factor_of_a_line():
     figure = _figure(lambda fleet, lines: fleet.replicas, 2 * FLEET.replicas)
 
-    row = rows.work_out(figure, FLEET, {})
+    row = rows.compute_row(figure, FLEET, {})
 
     assert row.verdict is rows.Verdict.HOLDS
     assert row.headroom == pytest.approx(2)
@@ -25,21 +25,21 @@
 def test_a_value_over_its_budget_does_not_hold():
     figure = _figure(lambda fleet, lines: fleet.replicas, 510)
 
-    row = rows.work_out(figure, FLEET, {})
+    row = rows.compute_row(figure, FLEET, {})
 
     assert row.verdict is rows.Verdict.FAILS
     assert row.headroom == pytest.approx(0.1)
     assert row.breaks_at == pytest.approx(0.1)
 
 
-def test_what_does_not_grow_never_breaks():
-    row = rows.work_out(_figure(lambda fleet, lines: 1.0, 2.0), FLEET, {})
+def test_a_constant_value_has_an_infinite_breaking_factor():
+    row = rows.compute_row(_figure(lambda fleet, lines: 1.0, 2.0), FLEET, {})
 
     assert row.breaks_at == float("inf")
 
 
-def test_a_row_without_budget_has_no_verdict_on_it():
-    row = rows.work_out(_figure(lambda fleet, lines: 1.0, None), FLEET, {})
+def test_a_row_without_budget_has_the_verdict_stated():
+    row = rows.compute_row(_figure(lambda fleet, lines: 1.0, None), FLEET, {})
 
     assert row.verdict is rows.Verdict.STATED
     assert row.headroom is None
@@ -52,7 +52,7 @@
     assert [row.what for row in failing if not row.next_step] == []
 
 
-def test_each_figure_of_a_role_is_named_once():
+def test_figures_have_unique_names():
     names = [(one.role, one.what, one.unit) for one in plan.FIGURES]
 
     assert len(names) == len(set(names))
