--- a/packages/decisions/anvilwell_decisions/capacity/roles/bad_days.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/bad_days.py
@@ -134,10 +134,10 @@
     return heal_s(fleet, lines) + load_s + rollout.swap_s(fleet, lines)
 
 
-_RATE_LIMIT = "token bucket of 64 records/s, burst 128; leaving goes first"
+_RATE_LIMIT = "token bucket of 64 records/s, burst 128; leaving VMs go first"
 _FASTER_SPREAD = (
-    "the data path sees a dead link by itself after at most 4 s; records"
-    " of a whole domain in one message would spread sooner"
+    "the data path detects a dead link by itself within 4 s; records of a"
+    " whole domain in one message would spread faster"
 )
 
 FIGURES = (
@@ -184,7 +184,7 @@
         _RATE_LIMIT,
         target.BUDGET.bytes_s,
         rows.Reading.APART,
-        "fewer load reports, as above; then the bound itself",
+        "fewer load reports, as above; then a lower rate limit",
     ),
     rows.Figure(
         ROLE,
@@ -205,7 +205,7 @@
         delayed_changes,
         "failures a day x entries / daemons x loss(1) x changes/s",
         ("membership.loss.time",),
-        "refused by name, unless the VM is known to be gone in time",
+        "refused with the VM's name, unless known in time to be gone",
         reading=rows.Reading.APART,
     ),
     rows.Figure(
@@ -215,7 +215,7 @@
         cut_load,
         "regions / (regions - 1)",
         (),
-        "both sides serve on; training gives way to live callers",
+        "both sides keep serving; live callers go before training",
     ),
     rows.Figure(
         ROLE,
@@ -224,19 +224,19 @@
         refused_changes,
         "changes/s x 300 s",
         (),
-        "refused with the names of the missing; nothing in force",
+        "refused with the missing members; not in force anywhere",
     ),
     rows.Figure(
         ROLE,
         "a region heals: both sides know each other",
         "s",
         heal_s,
-        "loss(daemons / regions), as each side has called the other dead",
+        "loss(daemons / regions), as each side has declared the other dead",
         ("membership.loss.time",),
-        "table exchanges; a claim of death is tried before it counts",
+        "table exchanges; a reported death is checked before it counts",
         60.0,
         rows.Reading.APART,
-        "exchange whole buckets between sides once they meet",
+        "exchange whole buckets between the sides on contact",
     ),
     rows.Figure(
         ROLE,
@@ -245,7 +245,7 @@
         outage_starts,
         "3,600 s x replaced a day / 86,400 s",
         (),
-        "a sponsor answers for the configuration meanwhile",
+        "a sponsor confirms the configuration meanwhile",
     ),
     rows.Figure(
         ROLE,
@@ -254,16 +254,16 @@
         recovery_writes,
         "starts + 2 x leaderships + 60 chunks a run",
         (),
-        "daemons at rest write nothing; claims were refused as not run",
+        "idle daemons write nothing; claims were refused as not run",
     ),
     rows.Figure(
         ROLE,
         "the service is back: leaders lead and writes are through",
         "s",
         recovery_s,
-        "15 s of lease and look + waiting writes / (300/s - usual)",
+        "15 s of lease and polling + waiting writes / (300/s - usual)",
         ("keyvalue.lease.writes", "claims.apart.writes"),
-        "random pauses that double; group commit",
+        "exponential backoff with jitter; group commit",
         60.0,
     ),
     rows.Figure(
@@ -276,7 +276,7 @@
         "compare-and-swap on one list, pauses up to 4 s",
         60.0,
         rows.Reading.APART,
-        "lists in shards: no two starts write the same key",
+        "shard the lists, so that starts write different keys",
     ),
     rows.Figure(
         ROLE,
@@ -285,7 +285,7 @@
         replaced_s,
         "3 x replaced a day / 86,400 s",
         (),
-        "each crosses each edge once",
+        "each is sent once over each edge",
         news.RATE_PER_S / _EDGES,
     ),
     rows.Figure(
@@ -305,7 +305,7 @@
         push_cut_s,
         "heal + replicas / regions / 20 loads/s + swap",
         ("control.messages.cpu",),
-        "samples name their true, older version; the bound decides",
+        "samples state their older version; the staleness limit decides",
         28 * 60.0,
         rows.Reading.APART,
     ),
@@ -314,8 +314,8 @@
         "a weight push while the key-value service is down: delay",
         "s",
         lambda fleet, lines: OUTAGE_S + recovery_s(fleet, lines),
-        "outage + the row on its return",
+        "outage + the row for its recovery",
         ("keyvalue.lease.writes",),
-        "no lease, no order: no version changes in the outage",
+        "orders need a lease, so no version changes in the outage",
     ),
 )
--- a/packages/decisions/anvilwell_decisions/capacity/roles/entry.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/entry.py
@@ -118,12 +118,11 @@
     " that is more"
 )
 _BOUND_IN_ALL = (
-    "bound the links over all services, the rows below; a holder of runs"
-    " links to all replicas of its own service besides"
+    "limit the links over all services, as in the rows below; a holder of"
+    " runs also links to all replicas of its own service"
 )
 FEWER_REPORTS = (
-    "on links without a request of the entry's own, report and ping"
-    " each 10 s only"
+    "report and ping only every 10 s on links without a request of the entry"
 )
 
 FIGURES = (
@@ -134,7 +133,7 @@
         requests_s,
         "requests/s / entries",
         (),
-        "the platform's balancer spreads callers",
+        "the platform's balancer distributes callers",
     ),
     rows.Figure(
         ROLE,
@@ -152,7 +151,7 @@
         open_streams,
         "tokens/s of an entry / tokens/s of a stream",
         (),
-        "credits bound each stream's buffer",
+        "credits limit each stream's buffer",
     ),
     rows.Figure(
         ROLE,
@@ -161,7 +160,7 @@
         data_path_cores,
         "tokens/s / 25 x message + requests/s x (frame + route)",
         ("entry.messages.cpu", "link.request.cpu", "entry.route.cpu"),
-        "the agent joins tokens; an entry pays for messages",
+        "agents merge tokens; the entry's cost is per message",
         assumptions.DATA_PATH_CORES,
         rows.Reading.SHARED,
     ),
@@ -172,7 +171,7 @@
         service_links_bytes_s,
         "services x min(48, replicas / services) x (2 reports/s + 2 pings/s)",
         _REPORT_SLOPES[:1],
-        "subsets by rendezvous hashing; this is what runs today",
+        "subsets by rendezvous hashing; the current behaviour",
         target.BUDGET.bytes_s,
         rows.Reading.APART,
         _BOUND_IN_ALL,
@@ -184,7 +183,7 @@
         service_links_cpu_share,
         "those links x (2 reports/s x report + 2 pings/s x message / 2)",
         _REPORT_SLOPES[1:],
-        "subsets by rendezvous hashing; this is what runs today",
+        "subsets by rendezvous hashing; the current behaviour",
         target.BUDGET.cpu_share,
         rows.Reading.APART,
         _BOUND_IN_ALL,
@@ -220,9 +219,9 @@
         memory_bytes,
         "every daemon's + replica x links + streams x stream",
         ("entry.replica.bytes", "link.streams.bytes", "daemon.base.bytes"),
-        "credits of 16 messages a stream; bounded answers",
+        "credits of 16 messages a stream; limited response size",
         target.BUDGET.memory_bytes,
         rows.Reading.APART,
-        "streams of one entry in two processes",
+        "split the streams of an entry over two processes",
     ),
 )
--- a/packages/decisions/anvilwell_decisions/capacity/roles/keyvalue.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/keyvalue.py
@@ -106,7 +106,7 @@
         chunk_writes_s,
         "trainers x min(entries/s, 2/s)",
         ("keyvalue.chunk.writes",),
-        "group commit: two writes a second and run at most",
+        "group commit: at most two writes a second for each run",
         assumptions.KEYVALUE_WRITES_S,
     ),
     rows.Figure(
@@ -124,7 +124,7 @@
         f"claims, {assumptions.CLAIM_SHARE:.1%} of the requests",
         "writes/s",
         claim_writes_s(assumptions.CLAIM_SHARE),
-        "share x requests/s x writes of a key that comes apart",
+        "share x requests/s x writes of an unbatched claim",
         ("claims.apart.writes", "claims.together.writes"),
         _CLAIMS,
         assumptions.KEYVALUE_WRITES_S,
@@ -136,10 +136,10 @@
         writes_s(assumptions.CLAIM_SHARE),
         "the sum of the rows above",
         ("keyvalue.lease.writes", "claims.apart.writes"),
-        "each purpose has a bound of its own",
+        "each purpose has its own limit",
         assumptions.KEYVALUE_WRITES_S,
         rows.Reading.EITHER,
-        "the next row's",
+        "as for the next row",
     ),
     rows.Figure(
         ROLE,
@@ -151,8 +151,8 @@
         _CLAIMS,
         assumptions.KEYVALUE_WRITES_S,
         rows.Reading.EITHER,
-        "send a key to one of a few entries by its hash, so that claims"
-        " come together and share writes (claims.together.writes)",
+        "route keys to a few entries by hash, so that claims are batched"
+        " and share writes (claims.together.writes)",
     ),
     rows.Figure(
         ROLE,
@@ -161,7 +161,7 @@
         reads_s,
         "2 x leaderships / 5 s + 3 x changes/s + 2 x starts/s",
         ("keyvalue.change.calls", "keyvalue.join.calls"),
-        "two daemons stand for each leadership",
+        "two daemons are candidates for each leadership",
         assumptions.KEYVALUE_READS_S,
     ),
     rows.Figure(
@@ -171,7 +171,7 @@
         watches,
         "2 x failure domains",
         (),
-        "two watchers in each domain; exchanges tell the others",
+        "two watchers in each domain; exchanges inform the others",
         assumptions.KEYVALUE_WATCHES,
     ),
     rows.Figure(
@@ -184,6 +184,6 @@
         "one list of the entries, one of each service's agents",
         assumptions.KEYVALUE_VALUE_BYTES,
         rows.Reading.APART,
-        "lists in shards",
+        "shard the lists",
     ),
 )
--- a/packages/decisions/anvilwell_decisions/capacity/roles/ledger.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/ledger.py
@@ -89,7 +89,7 @@
         step_burst_s,
         "step(samples)",
         ("ledger.step.cpu",),
-        "a step is submitted in one call; results come spread",
+        "a step is submitted in one call; results arrive over time",
         3.0,
     ),
     rows.Figure(
@@ -102,7 +102,7 @@
         "texts stay until acknowledged; two steps ahead at most",
         target.BUDGET.memory_bytes,
         rows.Reading.APART,
-        "texts on the few VMs with a disk only",
+        "keep texts only on the few VMs with a disk",
     ),
     rows.Figure(
         ROLE,
@@ -111,7 +111,7 @@
         copies_bytes_s,
         "samples a step / step time x text",
         (),
-        "two copies before a choice is written",
+        "two copies exist before a choice is written",
     ),
     rows.Figure(
         ROLE,
--- a/packages/decisions/anvilwell_decisions/capacity/roles/rollout.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/rollout.py
@@ -87,12 +87,12 @@
         "leader's CPU while it rolls out, half of all replicas",
         "cores",
         leader_cpu_share,
-        "look(replicas / 2) / 0.25 s",
+        "tick(replicas / 2) / 0.25 s",
         ("rollout.tick.cpu",),
         "one leader a service, under a lease",
         target.BUDGET.cpu_share,
         rows.Reading.EITHER,
-        "look at replicas with news only, not at all each 0.25 s",
+        "process only replicas with new reports, not all each 0.25 s",
     ),
     rows.Figure(
         ROLE,
@@ -102,10 +102,10 @@
         "the row above x (25 s + loading) / 28 min"
         " + settled(replicas / 2) / 2 s for the rest",
         ("rollout.tick.cpu", "rollout.settled.cpu"),
-        "a settled leader looks each 2 s",
+        "a settled leader ticks every 2 s",
         target.BUDGET.cpu_share,
         rows.Reading.EITHER,
-        "look at replicas with news only, not at all each 0.25 s",
+        "process only replicas with new reports, not all each 0.25 s",
     ),
     rows.Figure(
         ROLE,
@@ -114,7 +114,7 @@
         leader_bytes_s,
         "orders x replicas / 2 x 2 x order / 28 min",
         ("rollout.orders", "rollout.batch.bytes"),
-        "one batch for each failure domain, passed on there",
+        "one batch for each failure domain, forwarded there",
         target.BUDGET.bytes_s,
     ),
     rows.Figure(
@@ -132,12 +132,12 @@
         "new weights on all replicas, loaded ahead",
         "s",
         swap_s,
-        "spread + waves x (look + swap + status"
+        "spread + waves x (tick + swap + status"
         " + 4 x replicas / domains / waves x message)",
         ("control.messages.cpu",),
         "floor of live replicas; relays in each domain",
         25.0,
         rows.Reading.APART,
-        "not reached if a version is wanted before it is loaded",
+        "not reached if a version is required before it is loaded",
     ),
 )
--- a/packages/decisions/anvilwell_decisions/capacity/roles/stores.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/stores.py
@@ -81,7 +81,7 @@
         bytes_s,
         "the row above x weights of a replica",
         (),
-        "engines read by themselves",
+        "engines read the weights directly",
     ),
     rows.Figure(
         WEIGHTS,
@@ -90,7 +90,7 @@
         list_reads_s,
         "services / 10 s",
         (),
-        "leaders alone ask for new versions",
+        "only leaders check for new versions",
     ),
     rows.Figure(
         REGIONS,
@@ -109,7 +109,7 @@
         report_bytes_s,
         "entries x subset / regions x (1 - 1 / regions) x link bytes / 2",
         ("entry.reports.bytes",),
-        "up to half of a subset in the entry's own domain",
+        "up to half of a subset is in the entry's own domain",
         reading=rows.Reading.APART,
     ),
     rows.Figure(
@@ -119,6 +119,6 @@
         token_bytes_s,
         "tokens/s / regions x (1 - 1 / regions) / 25 x frame(25)",
         ("link.tokens.bytes",),
-        "routing with no preference for near replicas; it has one",
+        "assumes no preference for near replicas; routing has one",
     ),
 )
