--- a/packages/decisions/anvilwell_decisions/samples/__init__.py
+++ b/packages/decisions/anvilwell_decisions/samples/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on the samples of training runs."""
+"""Collects and schedules the samples of training runs, without I/O."""
--- a/packages/decisions/anvilwell_decisions/samples/actions.py
+++ b/packages/decisions/anvilwell_decisions/samples/actions.py
@@ -1,4 +1,4 @@
-"""What a ledger asks its process to do."""
+"""Actions that a ledger returns for its process to carry out."""
 
 import typing
 
@@ -7,59 +7,59 @@
 
 
 class WriteChunk(typing.NamedTuple):
-    """Write chunk ``number`` of the log, which must not exist yet."""
+    """Write ``entries`` as chunk ``number`` if that key does not exist yet."""
 
     number: int
     entries: tuple
 
 
 class Accepted(typing.NamedTuple):
-    """Tell the trainer that its step is accepted for good."""
+    """Notify the trainer that its step is recorded as accepted."""
 
     step: int
 
 
 class VersionTaken(typing.NamedTuple):
-    """Tell the trainer that its version is recorded."""
+    """Notify the trainer that its version is recorded."""
 
     version: str
 
 
 class Generate(typing.NamedTuple):
-    """The sample needs an attempt."""
+    """Schedule an attempt to generate the sample."""
 
     sample: identity.SampleId
 
 
 class Settled(typing.NamedTuple):
-    """The sample needs no attempt more; cancel those under way."""
+    """Cancel the running attempts of a sample that has a candidate result."""
 
     sample: identity.SampleId
 
 
 class Score(typing.NamedTuple):
-    """Have the candidate scored."""
+    """Send the candidate result to the scorer."""
 
     sample: identity.SampleId
     digest: str
 
 
 class Replicate(typing.NamedTuple):
-    """Copy the candidate's bytes to a daemon in another domain."""
+    """Copy the candidate's bytes to a daemon in another failure domain."""
 
     sample: identity.SampleId
     digest: str
 
 
 class Fetch(typing.NamedTuple):
-    """Get the bytes of a recorded sample from one of its holders."""
+    """Fetch the bytes of a recorded sample from one of its holders."""
 
     position: int
     choice: records.Choice
 
 
 class Discard(typing.NamedTuple):
-    """Bytes that nobody will ask for again; ``holders`` have copies."""
+    """Delete bytes that are no longer needed, also at ``holders``."""
 
     sample: identity.SampleId
     digest: str
@@ -67,13 +67,13 @@
 
 
 class Trim(typing.NamedTuple):
-    """Write ``base``, then delete the chunks that come before it."""
+    """Write ``base``, then delete the chunks that it replaces."""
 
     base: records.Base
 
 
 class Dropped(typing.NamedTuple):
-    """An attempt's result was not used; count it."""
+    """Count the tokens of an attempt whose result was not used."""
 
     sample: identity.SampleId
     reason: str
@@ -81,12 +81,12 @@
 
 
 class Deliverable(typing.NamedTuple):
-    """Positions below ``end`` are recorded; wake waiting trainers."""
+    """Wake trainers that wait for positions below ``end``."""
 
     end: int
 
 
 class StepDown(typing.NamedTuple):
-    """Another process holds the ledger now; stop at once."""
+    """Stop at once, as ``holder`` has taken over the ledger."""
 
     holder: str
--- a/packages/decisions/anvilwell_decisions/samples/chunks.py
+++ b/packages/decisions/anvilwell_decisions/samples/chunks.py
@@ -1,8 +1,8 @@
-"""The log of a run, written in chunks by group commit.
+"""Writes the log of a run in numbered chunks, with group commit.
 
-Each chunk is one key that must not exist before. Two processes that
-both believe they hold the ledger therefore race for the same number,
-and only one wins, whatever their leases say.
+Each chunk is one key that is only written if it does not exist. When two
+processes both act as the holder of the ledger, they write to the same number
+and only one write succeeds, whatever the state of their leases.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 class ChunkAuthor(enum.Enum):
-    """What is known of a chunk's write."""
+    """Which process wrote a chunk: this one or another."""
 
     MINE = "mine"
     OTHER = "other"
@@ -30,7 +30,8 @@
     number : int
         Number of the first chunk to write.
     interval_s : float
-        How long an entry may wait for others.
+        Longest time in seconds that an entry waits for others to share
+        its chunk.
     """
 
     def __init__(self, number=0, interval_s=COMMIT_INTERVAL_S):
@@ -43,7 +44,7 @@
 
     @property
     def unwritten(self):
-        """Entries that are not known to be written."""
+        """How many entries are not confirmed as written."""
         return len(self._waiting) + len(self._in_flight)
 
     def append(self, entry, now):
@@ -53,7 +54,7 @@
         self._waiting.append(entry)
 
     def due_at(self):
-        """Return when `write` has something to do; None if never."""
+        """Return the time at which `write` is next due, or None."""
         if self._in_flight:
             return self._retry_at
         if not self._waiting:
@@ -61,7 +62,7 @@
         return self._since + self._interval_s
 
     def write(self, now, *, at_once=False):
-        """Return the ``WriteChunk`` that is due, in a list."""
+        """Return a list of the ``WriteChunk`` that is due, if any."""
         if self._in_flight:
             return self._write_again(now)
         full = len(self._waiting) >= CHUNK_ENTRIES
@@ -80,12 +81,12 @@
         return [actions.WriteChunk(self.number, self._in_flight)]
 
     def retry_later(self, now, retry_s=RETRY_S):
-        """Note that the write gave no answer; it is tried again."""
+        """Schedule the write again, as its outcome is unknown."""
         if self._in_flight:
             self._retry_at = now + retry_s
 
     def confirm_written(self, number):
-        """Return the entries of chunk `number`, now written."""
+        """Confirm that chunk `number` was written and return its entries."""
         if number != self.number or not self._in_flight:
             return ()
         entries = self._in_flight
@@ -95,14 +96,14 @@
         return entries
 
     def compare(self, number, entries):
-        """Say whose chunk `number` is, given the `entries` there."""
+        """Return who wrote the stored chunk `number`, judging by `entries`."""
         if number != self.number or tuple(entries) == self._in_flight:
             return ChunkAuthor.MINE
         return ChunkAuthor.OTHER
 
 
 def last_holder(entries):
-    """Return the holder named last among `entries`, "" if none is."""
+    """Return the holder in the last `records.Takeover`, or "" without one."""
     holders = [
         entry.holder
         for entry in entries
--- a/packages/decisions/anvilwell_decisions/samples/coordinator.py
+++ b/packages/decisions/anvilwell_decisions/samples/coordinator.py
@@ -1,4 +1,4 @@
-"""Joins the ledgers of a service's runs with its schedule."""
+"""Connects the ledgers of a service's runs to its schedule."""
 
 import typing
 
@@ -10,14 +10,14 @@
 
 
 class Addressed(typing.NamedTuple):
-    """An action for one run."""
+    """An action and the run that it belongs to."""
 
     run: str
     action: typing.NamedTuple
 
 
 class Coordinator:
-    """Takes a service's events and returns addressed actions.
+    """Handles a service's events and returns `Addressed` actions.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
     bound : int
         Staleness bound in versions.
     policy : schedule.Policy
-        Which mechanisms of scheduling are on.
+        Which scheduling mechanisms are enabled.
     scored : bool
         Whether samples are scored.
     """
@@ -46,7 +46,7 @@
         self.ledgers_by_run = {}
 
     def open_run(self, run, weight, chunks_by_number, now, base=None):
-        """Take over a run with what its log holds."""
+        """Take over a run from the chunks of its log."""
         ledger = ledgers.Ledger(
             run,
             self._holder,
@@ -62,7 +62,7 @@
         return self._address(run, found)
 
     def configure(self, bound, preference, weights_by_run):
-        """Take what the service's document says now."""
+        """Apply the current settings of the service's document."""
         self._bound = bound
         self.schedule.configure(bound, preference)
         for run, ledger in self.ledgers_by_run.items():
@@ -71,7 +71,7 @@
         return [*self._cancel_over_age(), *self._starts()]
 
     def submit(self, step, now):
-        """Take a step; see ``Ledger.submit``."""
+        """Accept a step from a trainer; see ``ledger.Ledger.submit``."""
         ledger = self.ledgers_by_run[step.run]
         found = ledger.submit(step, now)
         self._register_step(step)
@@ -82,12 +82,12 @@
         return self._groups_by_id[sample.run, sample.step, sample.group]
 
     def sample_of(self, attempt):
-        """Return the sample of an attempt under way, else None."""
+        """Return the sample of a running attempt, or None."""
         running = self.schedule.running_by_attempt.get(attempt)
         return running.pending.sample if running else None
 
     def result(self, attempt, result, now):
-        """Take the whole result of an attempt."""
+        """Handle the complete result of an attempt."""
         running = self.schedule.running_by_attempt.get(attempt)
         if running is None:
             return []
@@ -98,7 +98,7 @@
         return self._address(sample.run, found)
 
     def failed(self, attempt, now):
-        """Note that an attempt ended without a whole result."""
+        """Generate a sample again whose attempt ended without a result."""
         running = self.schedule.running_by_attempt.get(attempt)
         if running is None:
             return []
@@ -106,7 +106,7 @@
         return self._requeue([running.pending.sample])
 
     def progress(self, tokens_by_attempt, now):
-        """Take all streams' tokens so far; hedge those that hardly move."""
+        """Update the streams' token counts; hedge streams of slow replicas."""
         for attempt, tokens in tokens_by_attempt.items():
             self.schedule.progress(attempt, tokens)
         replicas_by_attempt = {
@@ -117,34 +117,34 @@
         return _address_starts(self.schedule.hedge(slow) if slow else ())
 
     def replica_lost(self, replica_id, now):
-        """Note that a replica is gone with all it was running."""
+        """Remove a replica and generate again what it was running."""
         return self._requeue(self.schedule.remove_replica(replica_id))
 
     def replica(self, replica_id, slots, version):
-        """Note a replica's slots and version."""
+        """Add a replica, or update its slots and weight version."""
         self.schedule.replicas.set(replica_id, slots, version)
         return self._starts()
 
     def published(self, version):
-        """Note the latest version; cancel what will be too old."""
+        """Set the latest weight version; cancel work that will be over age."""
         self.schedule.latest = version
         return self._cancel_over_age()
 
     def trainer_version(self, run, version, now):
-        """Note the version that a trainer has."""
+        """Record a trainer's version; cancel work that will be over age."""
         found = self.ledgers_by_run[run].trainer_version(version, now)
         self._update_needed_step(run, waiting=False)
         return [*self._address(run, found), *self._cancel_over_age()]
 
     def collect(self, run, cursor, limit, now, *, waiting=False):
-        """Return the batch at `cursor`; its actions are addressed."""
+        """Return the batch at `cursor`, with `Addressed` actions."""
         self.schedule.now = now
         batch = self.ledgers_by_run[run].collect(cursor, limit, now)
         self._record_collect(run, batch, waiting)
         return batch._replace(actions=tuple(self._address(run, batch.actions)))
 
     def tick(self, now):
-        """Return what is due in any run."""
+        """Return the actions that are due in any run."""
         self.schedule.now = now
         return [
             addressed
@@ -153,12 +153,12 @@
         ]
 
     def next_due(self):
-        """Return when `tick` has something to do; None if never."""
+        """Return the time at which `tick` is next due, or None."""
         times = [led.next_due() for led in self.ledgers_by_run.values()]
         return min((at for at in times if at is not None), default=None)
 
     def on_ledger(self, run, event, *args):
-        """Pass another event to the ledger of `run`."""
+        """Call the method `event` of the ledger of `run`."""
         found = getattr(self.ledgers_by_run[run], event.__name__)(*args)
         return self._address(run, found)
 
@@ -182,10 +182,10 @@
         self.schedule.add(sample, self.group(sample))
 
     def _record_collect(self, run, batch, waiting):
-        """Learn from a collect which step the trainer waits for.
+        """Update which step the trainer needs after it collected `batch`.
 
-        A trainer that just got the last sample of a step trains on it;
-        it needs the next one only when it collects again.
+        A trainer that has just received the last sample of a step trains
+        on that step. It needs the next one only when it collects again.
         """
         training = self.schedule.training(run)
         training.end(self.schedule.now)
--- a/packages/decisions/anvilwell_decisions/samples/delivery.py
+++ b/packages/decisions/anvilwell_decisions/samples/delivery.py
@@ -1,4 +1,4 @@
-"""Positions of a run's samples, and what a cursor may collect."""
+"""Assigns positions to recorded samples and delivers them in order."""
 
 import enum
 import itertools
@@ -12,7 +12,7 @@
 
 
 class Bytes(enum.Enum):
-    """Whether the holder of the ledger has a sample's bytes."""
+    """Where a sample's bytes are: here, being fetched, or lost."""
 
     HERE = "here"
     FETCHING = "fetching"
@@ -20,10 +20,11 @@
 
 
 class Batch(typing.NamedTuple):
-    """What one collect answers.
+    """The response to one collect request.
 
-    ``voids`` are positions to give up. ``at_once`` says that waiting for
-    more would not help: the trainer has to ask again.
+    ``voids`` are the positions to void, whose samples are generated again.
+    With ``at_once`` the response is sent without waiting for more samples:
+    the trainer must repeat its request before the position can be voided.
     """
 
     positions: tuple[int, ...]
@@ -36,7 +37,11 @@
 
 
 class _Slot:
-    """One position."""
+    """The choice at one position, and whether it can be delivered.
+
+    ``voiding`` is set while its `records.Void` is being written, ``voided``
+    once it is recorded.
+    """
 
     __slots__ = ("bytes", "choice", "voided", "voiding")
 
@@ -48,13 +53,14 @@
 
 
 class Delivery:
-    """Decides what a trainer gets at its cursor.
-
-    A position's bytes never change. A position that can't be delivered
-    (too old for the trainer, or its bytes are lost) is given up and its
-    sample redone, but only when the trainer surely lacks it: it was
-    never sent, or the trainer asked for it again after it was held back
-    once. A single delayed request therefore gives nothing up.
+    """Decides which samples a trainer receives at its cursor.
+
+    The bytes at a position never change. A position that can't be delivered
+    (its sample is over age, or its bytes are lost) is voided and the sample
+    is generated again at a later position. This happens only when the
+    trainer certainly has not received it: the position was never sent, or
+    the trainer requested it again after it was withheld once. A single
+    delayed request therefore never voids a position.
     """
 
     def __init__(self, bound):
@@ -70,35 +76,35 @@
 
     @property
     def first(self):
-        """The first position that is kept."""
+        """The first position that is still stored."""
         return self._first
 
     @property
     def end(self):
-        """The first position that is not recorded."""
+        """The position that the next recorded choice gets."""
         return self._first + len(self._slots)
 
     @property
     def missing(self):
-        """How many samples of accepted steps are not recorded."""
+        """How many samples of accepted steps are not recorded yet."""
         return sum(self._missing_by_step.values())
 
     def step_after(self, step):
-        """Return the next known step, the last one if there is none."""
+        """Return the first step after `step`, or else the last one."""
         later = (known for known in self._missing_by_step if known > step)
         return min(later, default=max(self._missing_by_step, default=0))
 
     def start_at(self, position):
-        """Begin at `position`; all before are acknowledged and gone."""
+        """Start at `position`; earlier ones are acknowledged and deleted."""
         self._first = position
         self.acknowledged = position
 
     def expect(self, step, samples):
-        """Note that `step` has `samples` samples to come."""
+        """Add a step of which `samples` samples are still missing."""
         self._missing_by_step[step] = samples
 
     def recorded(self, choice, where=Bytes.HERE):
-        """Give `choice` the next position and return it."""
+        """Assign the next position to `choice` and return the position."""
         position = self.end
         self._slots.append(_Slot(choice, where))
         step = choice.sample.step
@@ -107,13 +113,13 @@
         return position
 
     def restore(self, choice):
-        """Give a `choice` of an earlier holder its position."""
+        """Assign the next position to a choice read back from the log."""
         position = self.recorded(choice, Bytes.FETCHING)
         self._sent_end = self.end
         return position
 
     def void(self, position):
-        """Give up `position` for good and return its choice."""
+        """Mark `position` as voided and return its choice."""
         slot = self._slot(position)
         if not slot.voided:
             slot.voided = True
@@ -121,7 +127,7 @@
         return slot.choice
 
     def fetches(self):
-        """Return a ``Fetch`` for each position whose bytes are away."""
+        """Return a ``Fetch`` for each position whose bytes are not here."""
         return [
             actions.Fetch(position, slot.choice)
             for position, slot in enumerate(self._slots, self._first)
@@ -135,16 +141,16 @@
         return self._slot(position).bytes is Bytes.FETCHING
 
     def bytes_found(self, position):
-        """Note that the bytes of `position` are here."""
+        """Mark the bytes of `position` as present."""
         if not self.is_closed(position):
             self._slot(position).bytes = Bytes.HERE
 
     def is_closed(self, position):
-        """Return whether `position` is given up or before all kept."""
+        """Return whether `position` is voided or no longer stored."""
         return position < self._first or self._slot(position).voided
 
     def skip(self):
-        """Give a choice that is done with its position."""
+        """Use up a position for a choice of a step that was forgotten."""
         slot = _Slot(None, Bytes.LOST)
         slot.voided = True
         self._slots.append(slot)
@@ -152,8 +158,8 @@
     def last_releasable_step(self, keep):
         """Return the last step that may be forgotten, or ``NO_STEP``.
 
-        ``keep`` finished steps stay, for a trainer that comes back at
-        an older cursor.
+        The last ``keep`` finished steps stay, for a trainer that resumes
+        from an older cursor.
         """
         finished = []
         for step in sorted(self._missing_by_step):
@@ -166,7 +172,7 @@
         return finished[-keep - 1]
 
     def forget(self, through):
-        """Forget all steps up to `through`; return their choices."""
+        """Remove all steps up to `through` and return their choices."""
         done = [
             slot
             for slot in self._slots
@@ -187,12 +193,12 @@
         return [slot.choice for slot in done]
 
     def bytes_lost(self, position):
-        """Note that the bytes of `position` are nowhere."""
+        """Mark the bytes of `position` as lost at all holders."""
         if not self.is_closed(position):
             self._slot(position).bytes = Bytes.LOST
 
     def void_over_age(self):
-        """Return voids of positions never sent that grew too old."""
+        """Return voids for over-age positions that were never sent."""
         start = max(self._sent_end, self._first)
         return tuple(
             self._begin_void(position)
@@ -201,7 +207,7 @@
         )
 
     def collect(self, cursor, limit):
-        """Return the `Batch` at `cursor`; it acknowledges all before."""
+        """Return the `Batch` at `cursor`, which acknowledges all before it."""
         self._check_cursor(cursor)
         if self._blocked_at and self._blocked_at[0] != cursor:
             self._blocked_at = None
@@ -231,7 +237,7 @@
             raise exceptions.BadRequest(
                 f"cursor {cursor} is outside the kept positions "
                 f"{self._first} to {self.end}; use a next_cursor that "
-                "this run answered"
+                "this run returned"
             )
 
     def _is_blocked(self, position):
--- a/packages/decisions/anvilwell_decisions/samples/fairness.py
+++ b/packages/decisions/anvilwell_decisions/samples/fairness.py
@@ -1,16 +1,16 @@
-"""Weighted fair shares of the slots between runs."""
+"""Shares the slots fairly between runs, by weight."""
 
 import sortedcontainers
 
 
 class Fairness:
-    """Orders the runs that have work, by slots held over weight.
+    """Orders the runs that have work by used slots, divided by weight.
 
-    All slots make tokens at much the same rate, so equal slots are equal
-    service. Work that a trainer needs now goes before work started
-    early, so that no run's early work holds up another's step. A run
-    that was idle has no claim on the past, and one with work but no slot
-    is always first: none starves.
+    All slots generate tokens at about the same rate, so equal slots mean
+    equal service. Work for the step that a trainer needs now goes before
+    early work, so that one run's early work doesn't delay another run's
+    step. A run that was idle isn't compensated for that time. Of the runs
+    with needed work, one without any slot goes first, so none starves.
     """
 
     def __init__(self):
@@ -25,7 +25,7 @@
         self._slots_by_run.setdefault(run, 0)
 
     def set_ready(self, run, ready, *, early=False):
-        """Note whether `run` has work that may start."""
+        """Set whether `run` has work that may start, and if it is early."""
         key = self._keys_by_run.pop(run, None)
         if key is not None:
             self._ready.remove(key)
@@ -36,11 +36,11 @@
             self._ready.add(key)
 
     def first(self):
-        """Return the run that goes next, None if none is ready."""
+        """Return the run to serve next, or None if none is ready."""
         return self._ready[0][-1] if self._ready else None
 
     def add_slots(self, run, slots):
-        """Note that `run` took (or, if negative, gave back) slots."""
+        """Add `slots` to those that `run` uses; negative to release some."""
         self._slots_by_run[run] += slots
         key = self._keys_by_run.get(run)
         if key is not None:
--- a/packages/decisions/anvilwell_decisions/samples/identity.py
+++ b/packages/decisions/anvilwell_decisions/samples/identity.py
@@ -1,16 +1,16 @@
-"""What names a step, a group and a sample."""
+"""Identifies steps, groups and samples of a run."""
 
 import itertools
 import typing
 
 from anvilwell_kernel import exceptions
 
-# Comes before every step; steps count from 0.
+# Sentinel that sorts before every step, as steps count from 0.
 NO_STEP = -1
 
 
 class SampleId(typing.NamedTuple):
-    """Names one sample for ever, whatever attempts it takes."""
+    """Identifies a sample permanently, across all attempts to generate it."""
 
     run: str
     step: int
@@ -18,12 +18,12 @@
     index: int
 
     def __str__(self):
-        """Return the name that trainers and logs see."""
+        """Return the id as trainers and logs show it."""
         return f"{self.run}/{self.step}/{self.group}/{self.index}"
 
 
 class Group(typing.NamedTuple):
-    """Samples of one prompt; they share the engine's prefix cache."""
+    """Samples of one prompt, which share a cached prefix."""
 
     group: str
     prompt: str
@@ -33,7 +33,7 @@
 
 
 class Step(typing.NamedTuple):
-    """What a trainer submits as one step of its run."""
+    """One step of a run, as its trainer submits it."""
 
     run: str
     step: int
@@ -50,7 +50,7 @@
 
 
 def check_step(step):
-    """Raise ``exceptions.BadRequest`` if `step` names no sample set."""
+    """Raise ``exceptions.BadRequest`` if the groups of `step` are invalid."""
     names = [group.group for group in step.groups]
     twice = sorted({name for name in names if names.count(name) > 1})
     if twice:
--- a/packages/decisions/anvilwell_decisions/samples/ledger.py
+++ b/packages/decisions/anvilwell_decisions/samples/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger of one run: each sample exactly once, at one position.
+"""The ledger of one run: records each sample once, at one position.
 
-The log of chunks is the truth. A ledger takes events and `now` and
-returns actions; it believes nothing recorded before the log says so.
+The log of chunks is the source of truth. A ledger takes events and `now` and
+returns actions. It treats an entry as recorded only once its chunk is written.
 """
 
 import enum
@@ -23,7 +23,7 @@
 
 
 class Phase(enum.Enum):
-    """How far a sample is."""
+    """The state of a sample on its way into the log."""
 
     WANTED = "wanted"
     SCORING = "scoring"
@@ -39,7 +39,7 @@
 
 
 class Result(typing.NamedTuple):
-    """The whole outcome of one attempt; no two share a digest."""
+    """The complete result of an attempt; each has its own digest."""
 
     digest: str
     tokens: int
@@ -47,7 +47,7 @@
 
 
 class _Sample:
-    """What the ledger knows of one sample."""
+    """State of one sample."""
 
     __slots__ = ("failures", "phase", "position", "result", "retry", "score")
 
@@ -96,18 +96,18 @@
 
     @property
     def unwritten(self):
-        """Entries not yet known to be written."""
+        """How many entries are not confirmed as written."""
         return self._log.unwritten
 
     def recover(self, chunks_by_number, now, base=None):
-        """Take over what earlier holders wrote, and fence them.
+        """Replay what earlier holders wrote, and fence those holders.
 
         Parameters
         ----------
         chunks_by_number : dict of int to tuple
-            Every chunk that is kept, as entries.
+            The entries of every chunk that is kept.
         base : records.Base, optional
-            What came before them.
+            What replaces the chunks before them.
         """
         if base is not None:
             self._start_at(base)
@@ -149,16 +149,16 @@
                 self.recorded_version = entry.version
 
     def open_steps(self):
-        """Return the steps whose content is kept."""
+        """Return the steps whose content is still kept."""
         return list(self._steps_by_number.values())
 
     def set_bound(self, bound):
-        """Take another staleness bound; it holds from the next check."""
+        """Set the staleness bound that applies from the next check on."""
         self.bound = bound
         self.delivery.bound = bound
 
     def has_step(self, number):
-        """Return whether a step is accepted."""
+        """Return whether a step is recorded as accepted."""
         return (
             number <= self._retention.through
             or number in self._steps_by_number
@@ -172,12 +172,12 @@
             self.recorded_version = base.version
 
     def submit(self, step, now):
-        """Take a step from the trainer.
+        """Accept a step from the trainer.
 
         Returns
         -------
         list
-            ``Accepted`` if it is recorded already, else what records it.
+            ``Accepted`` if it is recorded already, else the write to do so.
 
         Raises
         ------
@@ -204,7 +204,7 @@
         return sample is not None and sample.phase is Phase.WANTED
 
     def result(self, sample_id, result, now):
-        """Take an attempt's whole result; the first fitting one counts."""
+        """Handle a complete result; the first usable one is the candidate."""
         sample = self._samples_by_id.get(sample_id)
         if self.stopped or sample is None:
             return _drop(sample_id, result, reasons.Refusal.FENCED)
@@ -224,7 +224,7 @@
         ]
 
     def scored(self, sample_id, digest, score, now):
-        """Take a score; a second answer changes nothing."""
+        """Set the score of a candidate; a second response is ignored."""
         sample = self._take_candidate(sample_id, digest, Phase.SCORING)
         if sample is None:
             return []
@@ -232,7 +232,7 @@
         return self._enter_phase(sample_id, sample, Phase.COPYING)
 
     def replicated(self, sample_id, digest, holders, now):
-        """Note that `holders` have the bytes; the choice can be written."""
+        """Append the choice to the log, as `holders` have its bytes."""
         sample = self._take_candidate(sample_id, digest, Phase.COPYING)
         if sample is None:
             return []
@@ -251,14 +251,14 @@
         return self._log.write(now)
 
     def awaits(self, sample_id, digest, kind):
-        """Return whether the answer to an ask of `kind` is still due."""
+        """Return whether an action of class `kind` is still unanswered."""
         sample = self._candidate(sample_id, digest)
         if sample is None or sample_id in self._retries:
             return False
         return _ACTIONS_BY_PHASE[sample.phase] is kind
 
     def not_done(self, sample_id, digest, now):
-        """Note that scoring or copying failed; it is tried again."""
+        """Schedule a retry of scoring or copying, which failed."""
         sample = self._candidate(sample_id, digest)
         if sample is None or sample_id in self._retries:
             return []
@@ -268,7 +268,7 @@
         return []
 
     def tick(self, now):
-        """Return what is due: chunks to write, failed asks to repeat."""
+        """Return the actions that are due: writes, and retries."""
         if self.stopped:
             return []
         due = [i for i, at in self._retries.items() if at <= now]
@@ -280,12 +280,12 @@
         return [*repeated, *self._log.write(now)]
 
     def next_due(self):
-        """Return when `tick` has something to do; None if never."""
+        """Return the time at which `tick` is next due, or None."""
         times = [*self._retries.values(), self._log.due_at()]
         return min((at for at in times if at is not None), default=None)
 
     def written(self, number, now):
-        """Note that chunk `number` was written."""
+        """Apply the entries of chunk `number`, which was written."""
         entries = self._log.confirm_written(number)
         found = [a for entry in entries for a in self._recorded(entry)]
         if entries:
@@ -293,12 +293,12 @@
         return [*found, *self._log.write(now)]
 
     def write_unknown(self, now):
-        """Note that a write gave no answer; it may have landed."""
+        """Schedule a write again whose outcome is unknown."""
         self._log.retry_later(now)
         return []
 
     def write_conflict(self, number, entries, now):
-        """Take the `entries` that chunk `number` holds instead."""
+        """Step down if another process wrote `entries` as chunk `number`."""
         if self._log.compare(number, entries) is chunks.ChunkAuthor.MINE:
             return self.written(number, now)
         self.active = False
@@ -306,7 +306,7 @@
         return [actions.StepDown(chunks.last_holder(entries))]
 
     def trainer_version(self, version, now):
-        """Note the version that the trainer has; redo what is too old."""
+        """Record the trainer's version; discard and redo over-age samples."""
         self._check_active()
         self._take_version(version)
         self._log.append(records.TrainerVersion(version), now)
@@ -323,12 +323,12 @@
         return [*redone, *self._log.write(now, at_once=True)]
 
     def collect(self, cursor, limit, now):
-        """Return the batch at `cursor`, which acknowledges all before.
+        """Return the batch at `cursor`, which acknowledges all before it.
 
         Returns
         -------
         delivery.Batch
-            What to send; ``actions`` holds what to do besides.
+            What to send; ``actions`` are to be carried out as well.
         """
         self._check_active()
         batch = self.delivery.collect(cursor, limit)
@@ -336,12 +336,12 @@
         return batch._replace(actions=(*written, *self._forget()))
 
     def bytes_found(self, position):
-        """Note that the bytes of `position` are here."""
+        """Mark the bytes of `position` as present."""
         self.delivery.bytes_found(position)
         return [actions.Deliverable(self.delivery.end)]
 
     def bytes_lost(self, position):
-        """Note that no holder has the bytes of `position` any more."""
+        """Mark the bytes of `position` as lost at all holders."""
         self.delivery.bytes_lost(position)
         return [actions.Deliverable(self.delivery.end)]
 
--- a/packages/decisions/anvilwell_decisions/samples/lengths.py
+++ b/packages/decisions/anvilwell_decisions/samples/lengths.py
@@ -1,4 +1,4 @@
-"""How long a group's samples will be, from what was seen so far."""
+"""Predicts the lengths of a group's samples from earlier ones."""
 
 import collections
 
@@ -14,19 +14,20 @@
 
 
 class LengthPredictor:
-    """Predicts lengths in tokens for one run.
+    """Predicts the lengths of one run's samples, in tokens.
 
-    A prompt that was seen before is predicted by the longest of its
-    own lengths. A stream that is longer already than its prompt's
-    prediction raises it, by half of what was seen: in a heavy tail the
-    rest grows with what has passed. Prompts never seen are predicted by
-    a percentile of all lengths: a high one until one sample of theirs
-    has started, then the middle one.
+    The prediction for a known prompt is the longest length seen for it. A
+    running stream that exceeds the prediction raises it to 1.5 times the
+    stream's current length, because in a heavy-tailed distribution the
+    expected rest grows with the length so far. The prediction for a new
+    prompt is a percentile of all lengths: a high one until its first sample
+    has started, then the median.
 
     Parameters
     ----------
     prompts_kept : int
-        Prompts remembered; the least recently seen is forgotten.
+        How many prompts to remember; the least recently updated one is
+        forgotten first.
     """
 
     def __init__(self, prompts_kept=PROMPTS_KEPT):
@@ -38,7 +39,7 @@
         self._middle = 0
 
     def observe(self, prompt, tokens):
-        """Take the length of a finished sample of `prompt`."""
+        """Record the length of a finished sample of `prompt`."""
         self._raise(prompt, tokens)
         self._all.record_value(min(max(tokens, 1), MAX_TOKENS))
         self._seen += 1
@@ -46,12 +47,12 @@
             self._refresh()
 
     def progress(self, prompt, tokens, max_tokens):
-        """Take the length so far of a running sample of `prompt`.
+        """Record the current length of a running sample of `prompt`.
 
         Returns
         -------
         bool
-            Whether the prediction grew.
+            Whether the prediction was raised.
         """
         if tokens <= self.predict(prompt, max_tokens, scouted=True):
             return False
@@ -65,7 +66,7 @@
         return min(known or guess or max_tokens, max_tokens)
 
     def is_known(self, prompt):
-        """Return whether anything was seen of `prompt`."""
+        """Return whether a length of `prompt` was recorded."""
         return prompt in self._lengths_by_prompt
 
     def _raise(self, prompt, tokens):
--- a/packages/decisions/anvilwell_decisions/samples/queues.py
+++ b/packages/decisions/anvilwell_decisions/samples/queues.py
@@ -1,4 +1,4 @@
-"""Samples of one run that wait for an engine."""
+"""Queues the samples of one run that wait for a replica."""
 
 import collections
 import typing
@@ -11,7 +11,7 @@
 
 
 class Pending(typing.NamedTuple):
-    """A sample that waits, with what is predicted of it."""
+    """A waiting sample with its predicted length in tokens."""
 
     sample: identity.SampleId
     prompt: str
@@ -20,7 +20,7 @@
 
 
 class _Group:
-    """Waiting samples of one group; ``home`` has its prefix cached."""
+    """Waiting samples of a group; `prefix_replica` has cached its prefix."""
 
     __slots__ = (
         "key",
@@ -41,14 +41,15 @@
 
 
 class RunQueue:
-    """Orders a run's groups: earliest step, then longest predicted.
+    """Orders a run's groups by earliest step, then longest prediction.
 
     Parameters
     ----------
     longest_first : bool
-        False keeps the order of arrival; for comparison.
+        False keeps the order of arrival, for comparison in benchmarks.
     scouts : bool
-        Whether one sample of each new prompt goes before the rest.
+        Whether one sample of each new prompt (a scout) starts before other
+        groups, so that its length improves the prediction for the rest.
     """
 
     def __init__(self, *, longest_first=True, scouts=True):
@@ -65,7 +66,7 @@
         self.waiting = 0
 
     def add(self, sample, prompt, max_tokens):
-        """Let `sample` wait."""
+        """Add `sample` to the queue."""
         group_id = (sample.step, sample.group)
         group = self._groups_by_id.get(group_id)
         if group is None:
@@ -81,15 +82,15 @@
         return self._order[0][0]
 
     def is_early(self):
-        """Return whether the trainer does not need the first sample yet."""
+        """Return whether the first sample belongs to a step not needed yet."""
         return self.head_step() > self.needed_step
 
     def prefix_replica(self):
-        """Return the replica that has the first group's prefix."""
+        """Return the replica that cached the first group's prefix, or None."""
         return self._groups_by_id[self._order[0][-1]].prefix_replica
 
     def take(self, replica):
-        """Return the first `Pending` and give it to `replica`."""
+        """Remove the first sample, for `replica`, and return its `Pending`."""
         group_id = self._order[0][-1]
         group = self._groups_by_id[group_id]
         sample = group.waiting.popleft()
@@ -105,7 +106,7 @@
         return Pending(sample, group.prompt, group.max_tokens, predicted)
 
     def remove(self, sample):
-        """Let `sample` wait no longer; no error if it doesn't."""
+        """Remove `sample` from the queue if it is there."""
         group = self._groups_by_id.get((sample.step, sample.group))
         if group is None or sample not in group.waiting:
             return
@@ -116,7 +117,7 @@
             group.key = None
 
     def observe(self, sample, tokens):
-        """Take the length of a finished sample and order anew."""
+        """Record the length of a finished sample and reorder its group."""
         group_id = (sample.step, sample.group)
         group = self._groups_by_id.get(group_id)
         if group is None:
@@ -125,7 +126,7 @@
         self._reposition(group_id, group)
 
     def progress(self, sample, tokens):
-        """Take the length so far of a running sample; order anew."""
+        """Record the current length of a running sample; reorder its group."""
         group_id = (sample.step, sample.group)
         group = self._groups_by_id.get(group_id)
         if group is not None and self.lengths.progress(
@@ -134,7 +135,7 @@
             self._reposition(group_id, group)
 
     def forget_step(self, step):
-        """Drop what is kept of a whole step."""
+        """Remove all groups of a complete step."""
         gone = [i for i in self._groups_by_id if i[0] == step]
         for group_id in gone:
             group = self._groups_by_id.pop(group_id)
--- a/packages/decisions/anvilwell_decisions/samples/records.py
+++ b/packages/decisions/anvilwell_decisions/samples/records.py
@@ -1,4 +1,4 @@
-"""What the log of a run holds; the log alone decides what is true."""
+"""Entries of the log of a run, the only source of truth about it."""
 
 import typing
 
@@ -6,23 +6,26 @@
 
 
 class Takeover(typing.NamedTuple):
-    """A process became the holder of the ledger."""
+    """A process became the holder of the ledger.
+
+    ``fencing`` is the fencing number of its lease.
+    """
 
     holder: str
     fencing: int
 
 
 class StepAccepted(typing.NamedTuple):
-    """A step was accepted; its body was written with this entry."""
+    """A step was accepted; the entry contains the whole step."""
 
     step: identity.Step
 
 
 class Choice(typing.NamedTuple):
-    """One attempt's result became the sample.
+    """The result of one attempt was chosen as the sample.
 
-    ``holders`` names the daemons that had the bytes when the choice was
-    written; ``versions`` the weight versions of its tokens, in order.
+    ``holders`` are the daemons that had the bytes when the choice was
+    written; ``versions`` are the weight versions of its tokens, in order.
     """
 
     sample: identity.SampleId
@@ -34,24 +37,24 @@
 
 
 class Void(typing.NamedTuple):
-    """A position that the trainer will never get; its sample is redone."""
+    """A position that is never delivered; its sample is generated again."""
 
     position: int
     reason: str
 
 
 class TrainerVersion(typing.NamedTuple):
-    """The weight version that the trainer has from here on."""
+    """The weight version of the trainer from this entry on."""
 
     version: str
 
 
 class Base(typing.NamedTuple):
-    """What came before the first chunk that is kept.
+    """Replaces the chunks before the first one that is kept.
 
-    ``chunk`` is the number of the first chunk that counts and
-    ``position`` that of its first choice. All steps up to ``through``
-    are done with. ``version`` is the trainer's, "" if it told none.
+    ``chunk`` is the number of the first chunk that is kept and ``position``
+    the position of its first choice. All steps up to ``through`` are
+    complete. ``version`` is the trainer's, or "" if it has reported none.
     """
 
     chunk: int
--- a/packages/decisions/anvilwell_decisions/samples/replicas.py
+++ b/packages/decisions/anvilwell_decisions/samples/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas of one service and their free slots."""
+"""Tracks the replicas of one service and their free slots."""
 
 import sortedcontainers
 
@@ -16,7 +16,7 @@
 
 
 class Replicas:
-    """Finds the least loaded replica in O(log n)."""
+    """Finds the least loaded replica, in O(log n) for each change."""
 
     def __init__(self):
         self._by_id = {}
@@ -36,7 +36,7 @@
         self._update_free(replica_id, replica)
 
     def remove(self, replica_id):
-        """Forget a replica; return its attempts."""
+        """Remove a replica and return the attempts that ran on it."""
         replica = self._by_id.pop(replica_id, None)
         if replica is None:
             return []
@@ -44,7 +44,7 @@
         return sorted(replica.attempts)
 
     def set_oldest_version(self, version):
-        """Leave out replicas with a version before `version`."""
+        """Exclude replicas with a weight version older than `version`."""
         if version == self._oldest:
             return
         self._oldest = version
@@ -57,9 +57,10 @@
         Parameters
         ----------
         oldest : int
-            The oldest version that will do.
+            The oldest weight version that is allowed.
         preferred : str, optional
-            The replica to take if it will do; else the least loaded.
+            The replica to choose if it is allowed and has a free slot;
+            otherwise the least loaded one is chosen.
         """
         replica = self._by_id.get(preferred)
         if replica is not None and replica.key and replica.version >= oldest:
@@ -76,7 +77,7 @@
         return next(others, None)
 
     def take(self, replica_id, attempt):
-        """Put `attempt` into a slot; return the replica's version."""
+        """Use a slot for `attempt`; return the replica's weight version."""
         replica = self._by_id[replica_id]
         replica.attempts.add(attempt)
         self._update_free(replica_id, replica)
--- a/packages/decisions/anvilwell_decisions/samples/retention.py
+++ b/packages/decisions/anvilwell_decisions/samples/retention.py
@@ -1,4 +1,4 @@
-"""How long a run's log is kept."""
+"""Decides which chunks of a run's log can be deleted."""
 
 import collections
 import typing
@@ -11,7 +11,7 @@
 
 
 class _Chunk(typing.NamedTuple):
-    """A chunk, the position after it and the last step it accepts."""
+    """A chunk, the first position after it and the last step it accepts."""
 
     number: int
     end: int
@@ -19,10 +19,10 @@
 
 
 class Retention:
-    """Says which chunks no recovery needs any more.
+    """Finds the chunks that recovery no longer needs.
 
-    A chunk goes once all its choices come before the first kept
-    position and all steps that it accepts are done with.
+    A chunk can be deleted once all its choices come before the first stored
+    position and all steps that it accepts are complete.
     """
 
     def __init__(self):
@@ -30,7 +30,7 @@
         self._chunks = collections.deque()
 
     def written(self, number, entries, end):
-        """Note chunk `number`; `end` is the first position after it."""
+        """Add chunk `number`; `end` is the first position after it."""
         steps = [
             entry.step.step
             for entry in entries
@@ -41,16 +41,16 @@
         )
 
     def trim(self, through, first, version):
-        """Return a ``Trim``, in a list, if chunks can go.
+        """Return a list of a ``Trim`` if chunks can be deleted.
 
         Parameters
         ----------
         through : int
-            All steps up to it are done with.
+            All steps up to this one are complete.
         first : int
-            The first position that is kept.
+            The first position that is still stored.
         version : str
-            The trainer's version, for what replaces the chunks.
+            The trainer's weight version, recorded in the `records.Base`.
         """
         self.through = through
         gone = None
@@ -62,7 +62,7 @@
         return [actions.Trim(base)]
 
     def _is_obsolete(self, chunk, first):
-        # The last chunk stays: the next number follows from it.
+        # The last chunk stays, as the next number is computed from it.
         is_last = len(self._chunks) == 1
         is_needed = chunk.end > first or chunk.step > self.through
         return not (is_last or is_needed)
--- a/packages/decisions/anvilwell_decisions/samples/schedule.py
+++ b/packages/decisions/anvilwell_decisions/samples/schedule.py
@@ -1,4 +1,4 @@
-"""Which sample starts next, and on which replica."""
+"""Decides which sample starts next, and on which replica."""
 
 import typing
 
@@ -10,11 +10,16 @@
 
 
 class Policy(typing.NamedTuple):
-    """Which mechanisms are on.
-
-    ``early_share`` is the share of a step's samples that may start
-    before the trainer needs that step, 0 to 1; ``early_delay`` is the
-    share of the trainer's training time that passes before they do.
+    """Which scheduling mechanisms are enabled.
+
+    ``longest_first`` starts the groups with the longest predictions first,
+    ``scouts`` one sample of each new prompt before the rest. ``affinity``
+    keeps a group on the replica that cached its prefix. ``cancel_doomed``
+    cancels attempts that will be over age at delivery. ``hedge`` starts
+    second attempts for streams on slow replicas. ``early_share`` is the
+    share of a step's samples that may start before the trainer needs that
+    step, from 0 to 1; ``early_delay`` is the share of the trainer's
+    training time that passes before they do.
     """
 
     longest_first: bool = True
@@ -26,7 +31,11 @@
     hedge: bool = True
 
     def prefer(self, preference):
-        """Return this policy with early work as `preference` wants it."""
+        """Return this policy with early work set by `preference`.
+
+        From 0 (least idle time: start early work at once) to 1 (least
+        staleness: start none).
+        """
         share = 0.0 if preference >= 1 else 1.0
         return self._replace(early_share=share, early_delay=preference)
 
@@ -41,7 +50,7 @@
 
 
 class Cancel(typing.NamedTuple):
-    """Give up an attempt."""
+    """Cancel an attempt."""
 
     sample: identity.SampleId
     replica: str
@@ -50,7 +59,7 @@
 
 
 class Running(typing.NamedTuple):
-    """An attempt under way; ``oldest`` is its first token's version."""
+    """A running attempt; ``oldest`` is the weight version that it began on."""
 
     pending: queues.Pending
     replica: str
@@ -59,17 +68,17 @@
 
 
 class Schedule:
-    """Shares the replicas of one service between its runs.
+    """Distributes the replicas of one service among its runs.
 
     Each decision costs O(log n) of the replicas, runs and groups; a new
-    version costs O(n) of the attempts under way.
+    version costs O(n) of the running attempts.
 
     Parameters
     ----------
     bound : int
         Staleness bound in versions.
     policy : Policy
-        Which mechanisms are on.
+        Which scheduling mechanisms are enabled.
     """
 
     def __init__(self, bound, policy=None):
@@ -88,16 +97,16 @@
 
     @property
     def running_by_attempt(self):
-        """Attempts under way."""
+        """The `Running` attempts."""
         return self._running_by_attempt
 
     @property
     def waiting(self):
-        """How many samples wait."""
+        """How many samples wait in all runs."""
         return sum(q.waiting for q in self._queues_by_run.values())
 
     def configure(self, bound, preference):
-        """Take another staleness bound and preference."""
+        """Set the staleness bound and the preference (see `Policy.prefer`)."""
         self.bound = bound
         self._policy = self._policy.prefer(preference)
         for run in self._queues_by_run:
@@ -105,12 +114,12 @@
         self._exclude_old_replicas()
 
     def remove_replica(self, replica_id):
-        """Forget a replica; return the samples it was running."""
+        """Remove a replica and return the samples that it was running."""
         lost = self.replicas.remove(replica_id)
         return [self._forget(attempt).pending.sample for attempt in lost]
 
     def add_run(self, run, weight):
-        """Add a run, or change its share."""
+        """Add a run, or change its weight."""
         if run not in self._queues_by_run:
             self._queues_by_run[run] = queues.RunQueue(
                 longest_first=self._policy.longest_first,
@@ -120,10 +129,10 @@
         self._update_ready(run)
 
     def set_needed_step(self, run, step, trainer_version, *, waiting):
-        """Note which step the trainer needs, and the version it has.
+        """Set which step the trainer needs and which weight version it has.
 
-        ``waiting`` says that the trainer waits for the step now, so that
-        its version stays until it has it.
+        ``waiting`` means that the trainer is waiting for the step now. Its
+        version then can't change before the step is delivered.
         """
         queue = self._queues_by_run[run]
         queue.needed_step = step
@@ -133,26 +142,26 @@
         self._exclude_old_replicas()
 
     def training(self, run):
-        """Return how long the trainer of `run` trains."""
+        """Return the `training.TrainingTime` of the trainer of `run`."""
         return self._queues_by_run[run].training
 
     def trainer_waits(self, run):
-        """Return whether the trainer of `run` was last seen waiting."""
+        """Return whether the trainer of `run` waits for its step."""
         return self._queues_by_run[run].trainer_waits
 
     def set_step_size(self, run, step, samples):
-        """Note how many samples `step` has."""
+        """Set how many samples `step` has."""
         self._sizes_by_step[run, step] = samples
         self._early_by_step.setdefault((run, step), 0)
 
     def add(self, sample, group):
-        """Let `sample` of `group` wait (again)."""
+        """Queue `sample` of `group`, for its first or another attempt."""
         queue = self._queues_by_run[sample.run]
         queue.add(sample, group.prompt, group.max_tokens)
         self._update_ready(sample.run)
 
     def remove_step(self, run, step):
-        """Forget a whole step."""
+        """Remove a complete step."""
         self._queues_by_run[run].forget_step(step)
         self._sizes_by_step.pop((run, step), None)
         self._early_by_step.pop((run, step), None)
@@ -167,7 +176,8 @@
                 break
             start = self._start(run)
             if start is None:
-                # What is free is too old for this run, maybe not for others.
+                # The free replicas' versions are too old for this run, but may
+                # be new enough for others.
                 self._fairness.set_ready(run, False, early=False)
                 blocked.append(run)
             else:
@@ -177,10 +187,10 @@
         return starts
 
     def hedge(self, slow):
-        """Return a `Start` of a second attempt for streams on `slow`.
+        """Return a `Start` of a second attempt for each stream on `slow`.
 
-        Only slots that nothing else can use are taken, on replicas that
-        are not slow.
+        Only slots that no waiting sample can use are taken, and only on
+        replicas that are not slow.
         """
         if not self._policy.hedge or self._fairness.first() is not None:
             return []
@@ -201,14 +211,14 @@
         return starts
 
     def is_running(self, sample):
-        """Return whether an attempt at `sample` is under way."""
+        """Return whether an attempt of `sample` is running."""
         return sample in self._attempts_by_sample
 
     def _is_hedged(self, running):
         return len(self._attempts_by_sample[running.pending.sample]) > 1
 
     def ended(self, attempt, tokens=None):
-        """Free the slot of `attempt`; `tokens` if its stream was whole."""
+        """Free the slot of `attempt`; `tokens` is its length if complete."""
         running = self._running_by_attempt.get(attempt)
         if running is None:
             return
@@ -220,21 +230,21 @@
         self._queues_by_run[sample.run].observe(sample, tokens)
 
     def progress(self, attempt, tokens):
-        """Note how many tokens an attempt has so far."""
+        """Record how many tokens an attempt has generated so far."""
         running = self._running_by_attempt.get(attempt)
         if running is not None:
             sample = running.pending.sample
             self._queues_by_run[sample.run].progress(sample, tokens)
 
     def settle(self, sample):
-        """Return a `Cancel` for each attempt of a settled sample."""
+        """Dequeue a settled sample; return a `Cancel` for each attempt."""
         self._queues_by_run[sample.run].remove(sample)
         self._update_ready(sample.run)
         attempts = self._attempts_by_sample.get(sample, ())
         return [self._cancel(a, "settled") for a in sorted(attempts)]
 
     def over_age_cancels(self):
-        """Return a `Cancel` for each attempt that will be too old."""
+        """Return a `Cancel` for each attempt that will be over age."""
         if not self._policy.cancel_doomed:
             return []
         return [
--- a/packages/decisions/anvilwell_decisions/samples/speeds.py
+++ b/packages/decisions/anvilwell_decisions/samples/speeds.py
@@ -1,4 +1,4 @@
-"""Which replicas make tokens much slower than the others."""
+"""Detects replicas that generate tokens much slower than the others."""
 
 import collections
 import statistics
@@ -9,11 +9,11 @@
 
 
 class SlowReplicaDetector:
-    """Compares the replicas' streams, one window after another.
+    """Compares the token counts of the replicas' streams in each window.
 
-    A replica is slow once its streams made less than `SLOW_SHARE` of the
-    median replica's tokens in `SLOW_WINDOWS` windows in a row: a pause
-    for new weights alone doesn't make it slow.
+    A replica is slow once its streams generated less than `SLOW_SHARE` of
+    the median replica's tokens in `SLOW_WINDOWS` windows in a row. One
+    window is not enough, so that a pause to load weights doesn't count.
     """
 
     def __init__(self):
@@ -22,21 +22,21 @@
         self._slow_windows_by_id = {}
 
     def update(self, tokens_by_attempt, replicas_by_attempt, now):
-        """Take all streams' tokens so far; return the slow replicas.
+        """Update all streams' token counts and return the slow replicas.
 
         Parameters
         ----------
         tokens_by_attempt : dict of int to int
             Tokens of each stream so far.
         replicas_by_attempt : dict of int to str
-            Where each attempt under way runs.
+            The replica of each running attempt.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         set of str
-            The slow replicas; empty within a window.
+            The slow replicas; empty until the window has ended.
         """
         if self._since is not None and now - self._since < WINDOW_S:
             return set()
--- a/packages/decisions/anvilwell_decisions/samples/training.py
+++ b/packages/decisions/anvilwell_decisions/samples/training.py
@@ -1,4 +1,4 @@
-"""How long a trainer trains on a step."""
+"""Measures how long a trainer trains on a step."""
 
 import collections
 
@@ -6,10 +6,10 @@
 
 
 class TrainingTime:
-    """Learns the time between a whole step and the next collect.
+    """Measures the time from a step's delivery to the next collect.
 
-    The least of the last two counts, so that a trainer that was away
-    once isn't taken for a slow one.
+    The shorter of the last two durations is used, so that a trainer that
+    was away once isn't treated as a slow one.
     """
 
     def __init__(self):
@@ -19,16 +19,16 @@
 
     @property
     def usual_s(self):
-        """Seconds of training; 0 while none was seen."""
+        """Expected training time in seconds; 0 before the first measurement."""
         return min(self._lasted_s, default=0.0)
 
     def begin(self, now):
-        """Note that the trainer has a step whole."""
+        """Record that the trainer received a complete step."""
         self.begun_at = now
         self._is_on = True
 
     def end(self, now):
-        """Note that the trainer collects again."""
+        """Record that the trainer collects again."""
         if self._is_on:
             self._lasted_s.append(now - self.begun_at)
             self._is_on = False
