--- a/packages/decisions/anvilwell_decisions/samples/training.py
+++ b/packages/decisions/anvilwell_decisions/samples/training.py
@@ -19,7 +19,7 @@
 
     @property
     def usual_s(self):
-        """Expected training time in seconds; 0 before the first measurement."""
+        """Expected training time in seconds; 0 before any measurement."""
         return min(self._lasted_s, default=0.0)
 
     def begin(self, now):
--- a/packages/decisions/tests/samples/path_world.py
+++ b/packages/decisions/tests/samples/path_world.py
@@ -1,7 +1,7 @@
-"""A small path of one run with faults at chosen points, and its oracle.
+"""Simulates one run with faults at chosen points, and checks its outcome.
 
-Processes are fakes that exchange messages after a delay. A fault hits
-one process at the moment when a step of the path is first reached.
+Processes are fakes that exchange messages after a delay. A fault is injected
+into one process when a step of the run's path is first reached.
 """
 
 import collections
@@ -38,7 +38,7 @@
 
 
 class Point(typing.NamedTuple):
-    """A fault of `kind` in `process` when `step` is first reached."""
+    """A fault of `kind` in `process`, when `step` is first reached."""
 
     step: str
     process: str
@@ -51,7 +51,7 @@
 
 
 class Process:
-    """Where messages arrive: late if paused, never if down."""
+    """Receives messages: delayed while paused, dropped while down."""
 
     def __init__(self, world, name):
         self.world = world
@@ -79,7 +79,7 @@
 
 
 class Entry(Process):
-    """Holds the ledger, or believes so."""
+    """Holds the ledger, or still acts as if it did after a takeover."""
 
     checks_lease = True
 
@@ -216,7 +216,7 @@
         self.world.send(self, TICK_S, self.watch, start.attempt)
 
     def watch(self, attempt):
-        """Fail an attempt once its engine has crashed meanwhile."""
+        """Fail an attempt if its engine has crashed since it started."""
         if attempt not in self.attempts:
             return
         if self.attempts[attempt] != self.world.engine.incarnation:
@@ -250,7 +250,7 @@
 
 
 class TrainerState(typing.NamedTuple):
-    """What a trainer finds again after a crash."""
+    """The state that a trainer restores after a crash."""
 
     cursor: int
     rows: tuple
@@ -259,7 +259,7 @@
 
 
 class Trainer(Process):
-    """Does two steps; saves its state only when a step is whole."""
+    """Trains two steps; saves its state only when a step is complete."""
 
     def __init__(self, world):
         super().__init__(world, "trainer")
@@ -281,7 +281,7 @@
         self.world.send(self, DELAY_S, self.send_next)
 
     def send_next(self):
-        """Ask the next thing; ask again if no answer comes."""
+        """Send the next call; send it again if no response arrives."""
         if self.is_done:
             return
         self.call_number += 1
@@ -309,7 +309,7 @@
 
     def receive(self, number, call, answer):
         if number != self.call_number:
-            return  # of a call that was given up
+            return  # a response to a call that timed out
         self.call_number += 1
         if answer is None:
             self.turn += 1
@@ -339,7 +339,7 @@
 
 
 class World:
-    """Runs one path to its end."""
+    """Runs one simulation until the trainer is done."""
 
     def __init__(self, points):
         self.now = 0.0
@@ -378,11 +378,11 @@
         return self
 
     def reach(self, step):
-        """Let the faults of `step` happen now, once each."""
+        """Inject the faults of `step` now, each only once."""
         due = [point for point in self.points if point.step == step]
         self.points = [point for point in self.points if point not in due]
         for point in due:
-            # After what is being done, as the process does it.
+            # The current call still completes before the fault.
             self.after(0.0, self.inject, point)
 
     def inject(self, point):
@@ -415,7 +415,7 @@
         entry.perform(entry.coordinator.replica("e", 8, version))
 
     def begin(self, entry, start, incarnation):
-        """Let the engine run an attempt: two halves, each some tokens."""
+        """Start an attempt on the engine, whose version may change meanwhile."""
         versions = [self.engine_version]
         self.reach("token")
         self.send(
@@ -471,7 +471,7 @@
 
 
 def find_problems(world):
-    """Return what is wrong with how `world` ended, from the records."""
+    """Return the problems in the final state of `world`."""
     problems = []
     if not world.trainer.is_done:
         return ["the steps never became whole"]
--- a/packages/decisions/tests/samples/test_coordinator.py
+++ b/packages/decisions/tests/samples/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator: which step a trainer needs, and early work."""
+"""Tests which step the coordinator starts, early work and hedging."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class Service:
-    """A coordinator whose writes and copies succeed at once."""
+    """A coordinator whose writes and copies succeed immediately."""
 
     def __init__(self, early_share):
         policy = schedule.Policy(early_share=early_share)
--- a/packages/decisions/tests/samples/test_crash_points.py
+++ b/packages/decisions/tests/samples/test_crash_points.py
@@ -1,4 +1,4 @@
-"""Every fault at every step of the path, alone and in pairs."""
+"""Injects every fault at every step of a run, alone and in pairs."""
 
 import collections
 import itertools
@@ -17,7 +17,7 @@
 
 
 def failures(cases):
-    """Return the problems found in `cases`, and how often each."""
+    """Return the cases of each problem that was found."""
     found = collections.defaultdict(list)
     for points in cases:
         world = path_world.World(points).run()
@@ -38,7 +38,7 @@
 
 
 def test_pairs_of_points():
-    """Try every ninth pair; all of them if CRASH_PAIRS is ``all``."""
+    """Test every ninth pair, or all pairs if CRASH_PAIRS is ``all``."""
     stride = 1 if os.environ.get("CRASH_PAIRS") == "all" else STRIDE
     cases = PAIRS[::stride]
     found = failures(cases)
@@ -47,7 +47,10 @@
 
 
 def is_seen(points):
-    """Return whether a planted fault shows, if only by a broken log."""
+    """Return whether a planted fault is detected.
+
+    A KeyError while replaying the broken log counts as detection.
+    """
     try:
         return bool(path_world.find_problems(path_world.World(points).run()))
     except KeyError:
--- a/packages/decisions/tests/samples/test_ledger.py
+++ b/packages/decisions/tests/samples/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: one choice a sample, stable positions, exactly once."""
+"""Tests that a ledger delivers each sample once, at a stable position."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 
 
 class Run:
-    """A ledger whose writes land when told to."""
+    """A ledger whose chunks are written to a dict by `land`."""
 
     def __init__(self, log=None, bound=1, fencing=1, scored=False, base=None):
         self.log = {} if log is None else log
@@ -32,7 +32,7 @@
         self.land(self.ledger.recover(dict(self.log), 0.0, base))
 
     def land(self, found):
-        """Write every chunk asked for; return the other actions."""
+        """Carry out all `WriteChunk` actions; return the other actions."""
         others = []
         found = list(found)
         while found:
@@ -257,7 +257,7 @@
 
 
 def do_steps(run, numbers):
-    """Let `run` do whole steps; return the last collect's actions."""
+    """Complete whole steps of `run`; return the last collect's actions."""
     cursor = run.ledger.delivery.end
     for number in numbers:
         step = STEP._replace(step=number)
@@ -278,7 +278,7 @@
     assert run.ledger.submit(STEP, 0.0) == [actions.Accepted(1)]
     with pytest.raises(exceptions.BadRequest):
         run.collect(0)
-    # Bytes may be found, or not, when nobody needs them any more.
+    # A fetch may end after its bytes are no longer needed.
     run.ledger.bytes_lost(0)
     run.ledger.bytes_found(1)
     assert len(run.collect(4).choices) == 2
--- a/packages/decisions/tests/samples/test_ledger_machine.py
+++ b/packages/decisions/tests/samples/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""A ledger in any order of events, against a plain model of a trainer."""
+"""Checks a ledger in any order of events against a model of a trainer."""
 
 import hypothesis
 from hypothesis import stateful
@@ -13,7 +13,7 @@
 
 
 class LedgerMachine(stateful.RuleBasedStateMachine):
-    """Holders come and go; the trainer must see each sample once."""
+    """Changes holders; the trainer must receive each sample exactly once."""
 
     def __init__(self):
         super().__init__()
@@ -33,7 +33,7 @@
 
     @stateful.rule()
     def take_over(self):
-        """Another process takes over; the old one may still write."""
+        """Another process takes over; the previous holder may still write."""
         self.old, self.fencing = self.ledger, self.fencing + 1
         self.ledger = ledgers.Ledger(
             "r", f"e{self.fencing}", self.fencing, bound=BOUND
@@ -62,7 +62,7 @@
         age=st.integers(0, 2),
     )
     def result(self, data, index, age):
-        """An attempt ends, wanted or not, fresh or not."""
+        """An attempt ends; its sample may be settled, or its version old."""
         if not self.steps:
             return
         self.results += 1
@@ -75,7 +75,7 @@
 
     @stateful.rule(well=st.booleans())
     def copied(self, well):
-        """The copies under way end, well or badly; time passes."""
+        """All running copies succeed or fail; then time passes."""
         copies, self.waiting = self.waiting, []
         for copy in copies:
             if not well:
@@ -101,7 +101,7 @@
 
     @stateful.rule(limit=st.integers(1, 4), answer=st.booleans())
     def collect(self, limit, answer):
-        """The trainer collects at its cursor; the answer may be lost."""
+        """The trainer collects at its cursor; the response may be lost."""
         batch = self.ledger.collect(self.cursor, limit, self.now)
         self.perform(self.ledger, batch.actions)
         for position, choice in zip(
@@ -119,7 +119,7 @@
             self.cursor = batch.next_cursor
 
     def perform(self, ledger, found):
-        """Carry actions out; every write and fetch succeeds at once."""
+        """Carry out actions; every write and fetch succeeds immediately."""
         todo = list(found)
         while todo:
             action = todo.pop(0)
--- a/packages/decisions/tests/samples/test_schedule.py
+++ b/packages/decisions/tests/samples/test_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule: order, fairness, affinity, early work and ageing."""
+"""Tests order, fairness, affinity, early work and staleness."""
 
 import collections
 
@@ -57,7 +57,7 @@
 
 
 def serve(schedule, rounds):
-    """Keep all slots busy, ending the oldest attempt each time."""
+    """Keep all slots in use, ending the oldest attempt each round."""
     served = collections.Counter()
     schedule.assign()
     under_way = collections.deque(schedule.running_by_attempt)
@@ -136,7 +136,7 @@
 
 
 def hedged(schedule):
-    """Put a sample on each replica; return the hedges of those on a."""
+    """Start a sample on each replica; hedge the one on replica a."""
     add(schedule, count=2)
     first = schedule.assign()
     assert [start.replica for start in first] == ["a", "b"]
@@ -174,7 +174,7 @@
 
 
 def early_schedule(preference):
-    """Return a schedule whose trainer trains for 100 s, from 200 on."""
+    """Return a schedule whose trainer takes 100 s and began at 200 s."""
     schedule = make(schedules.Policy().prefer(preference))
     training = schedule.training("r")
     training.begin(0.0)
--- a/packages/decisions/tests/samples/test_speeds.py
+++ b/packages/decisions/tests/samples/test_speeds.py
@@ -1,4 +1,4 @@
-"""Which replicas count as slow."""
+"""Tests which replicas are detected as slow."""
 
 from anvilwell_decisions.samples import speeds
 
@@ -6,7 +6,7 @@
 
 
 def slow_by_window(*gains_by_window):
-    """Return the slow replicas after each window of gains."""
+    """Return the slow replicas after each window's token gains."""
     found = speeds.SlowReplicaDetector()
     tokens = dict.fromkeys(REPLICAS_BY_ATTEMPT, 0)
     found.update(tokens, REPLICAS_BY_ATTEMPT, 0.0)
--- a/packages/decisions/tests/samples/test_training.py
+++ b/packages/decisions/tests/samples/test_training.py
@@ -1,4 +1,4 @@
-"""How long a trainer trains on a step."""
+"""Tests the measured training time."""
 
 from anvilwell_decisions.samples import training
 
--- a/packages/decisions/tests/samples/test_versions.py
+++ b/packages/decisions/tests/samples/test_versions.py
@@ -1,4 +1,4 @@
-"""Version truth: what an engine names late is not believed."""
+"""Tests that a version is doubtful if its tag may be late."""
 
 import pytest
 
