--- a/packages/decisions/anvilwell_decisions/membership/detector.py
+++ b/packages/decisions/anvilwell_decisions/membership/detector.py
@@ -49,11 +49,11 @@
         }
         return True
 
-    def vouched(self, now):
+    def confirm_alive(self, now):
         """Note that another neighbour reached it by now."""
         self._sent_at_by_number = dict.fromkeys(self._sent_at_by_number, now)
 
-    def forgive(self):
+    def reset_silence(self):
         """Forget heartbeats not acked: the fault may be our own."""
         self._sent_at_by_number = {}
 
@@ -77,12 +77,12 @@
         self.slowness = 1
         self.is_isolated = False
         self._ticked_at = None
-        self._woke_at = None
-        self._heard_at = None
+        self._resumed_at = None
+        self._last_message_at = None
 
-    def heard(self, now):
+    def message_received(self, now):
         """Note any message from another daemon."""
-        self._heard_at = now
+        self._last_message_at = now
 
     def tick(self, now):
         """Note one tick; return whether a pause lies before it."""
@@ -90,18 +90,18 @@
         self._ticked_at = now
         if gap <= self.GAP_S:
             return False
-        self._woke_at = now
+        self._resumed_at = now
         return True
 
     def answered(self):
         """Note that some neighbour answered a heartbeat."""
-        self._woke_at = None
+        self._resumed_at = None
 
-    def may_find(self, now):
+    def can_evaluate(self, now):
         """Return whether findings about others can be trusted."""
-        if self._woke_at is None:
+        if self._resumed_at is None:
             return True
-        return now - self._woke_at >= self.RESYNC_LIMIT_S
+        return now - self._resumed_at >= self.RESYNC_LIMIT_S
 
     def measure(self, silences_s, now):
         """Judge ourselves by the silences of all our subjects.
@@ -112,10 +112,15 @@
         late = sum(silence >= ACK_TIMEOUT_S for silence in silences_s)
         self.slowness = min(max(late, 1), MAX_SLOWNESS)
         all_late = late == len(silences_s)
-        is_deaf = self._heard_at is None or now - self._heard_at > ISOLATED_S
-        self.is_isolated = all_late and is_deaf and late >= ISOLATED_SUBJECTS
-
-    def find(self, silence_s):
+        receives_nothing = (
+            self._last_message_at is None
+            or now - self._last_message_at > ISOLATED_S
+        )
+        self.is_isolated = (
+            all_late and receives_nothing and late >= ISOLATED_SUBJECTS
+        )
+
+    def evaluate(self, silence_s):
         """Return the `Finding` for a subject silent for so long.
 
         Nobody is found dead while all subjects are silent: then it is
--- a/packages/decisions/anvilwell_decisions/membership/news.py
+++ b/packages/decisions/anvilwell_decisions/membership/news.py
@@ -9,7 +9,7 @@
 RATE_PER_S = 64.0
 BURST = 128.0
 RESEND_S = 1.0
-DEATH_LASTS_S = 2.0
+DEATH_NEWS_TTL_S = 2.0
 
 _URGENCY = {
     messages.State.LEAVING: 0,
@@ -57,7 +57,7 @@
             if vm_id != source:
                 waiting[member.vm_id] = member
 
-    def heard(self, neighbour, member):
+    def mark_received(self, neighbour, member):
         """Note that `neighbour` has a record of `member`."""
         waiting = self._waiting_by_neighbour.get(neighbour, {})
         queued = waiting.get(member.vm_id)
@@ -83,9 +83,9 @@
             return []
         self._drop_old_deaths(now)
         waiting = self._waiting_by_neighbour.get(neighbour, {})
-        room = min(MAX_MEMBERS, int(self._tokens))
+        budget = min(MAX_MEMBERS, int(self._tokens))
         ordered = sorted(waiting.values(), key=lambda m: _URGENCY[m.state])
-        chosen = ordered[:room]
+        chosen = ordered[:budget]
         self._tokens -= len(chosen)
         if chosen:
             self._sent_by_neighbour[neighbour] = _Sent(number, chosen, now)
@@ -97,7 +97,7 @@
         if sent and sent.number == number:
             del self._sent_by_neighbour[neighbour]
             for member in sent.members:
-                self.heard(neighbour, member)
+                self.mark_received(neighbour, member)
 
     def _drop_old_deaths(self, now):
         """Forget to tell of deaths found long ago.
@@ -107,7 +107,7 @@
         a claim of death is tried first.
         """
         old = itertools.takewhile(
-            lambda vm_id: now - self._died_at_by_id[vm_id] > DEATH_LASTS_S,
+            lambda vm_id: now - self._died_at_by_id[vm_id] > DEATH_NEWS_TTL_S,
             self._died_at_by_id,
         )
         for vm_id in list(old):
--- a/packages/decisions/anvilwell_decisions/membership/node.py
+++ b/packages/decisions/anvilwell_decisions/membership/node.py
@@ -12,8 +12,8 @@
 
 PROBERS = 3
 EXCHANGE_PERIOD_S = 10.0
-CATCH_UP_S = 0.5
-REUNITE_PERIOD_S = 5.0
+FOLLOW_UP_EXCHANGE_S = 0.5
+DEAD_PROBE_PERIOD_S = 5.0
 TOMBSTONE_S = 3600.0
 MAX_EXCHANGED = 200
 
@@ -63,10 +63,10 @@
         self._numbers = itertools.count(1)
         self._died_at_by_id = {}
         self._exchange_at = None
-        self._reunite_at = None
+        self._probe_dead_at = None
         self._actions = []
         self._now = 0.0
-        self._take(member)
+        self._merge(member)
 
     @property
     def members_by_id(self):
@@ -89,16 +89,16 @@
         """Send what is due; call about ten times a second."""
         self._begin(now)
         if self._health.tick(now):
-            self._watch.forgive()
+            self._watch.reset_silence()
             self._exchange_at = now
         for vm_id in self._watch.due(now, self._rng):
             self._send_heartbeat(vm_id)
-        if self._health.may_find(now):
-            self._judge()
+        if self._health.can_evaluate(now):
+            self._detect_failures()
         self._push()
         self._exchange()
-        self._reunite()
-        self._bury()
+        self._probe_dead()
+        self._remove_expired()
         return self._actions
 
     def meet(self, now, vm_id):
@@ -111,7 +111,9 @@
         """Announce that this daemon takes no new work."""
         self._begin(now)
         if self.me.state is not messages.State.LEAVING:
-            self._restate(self.me.incarnation + 1, messages.State.LEAVING)
+            self._update_own_record(
+                self.me.incarnation + 1, messages.State.LEAVING
+            )
             self._push()
         return self._actions
 
@@ -122,14 +124,14 @@
             known = self.members_by_id.get(vm_id)
             if known and known.state < messages.State.LEAVING:
                 state = messages.State.LEAVING
-                self._hear(known._replace(state=state), None)
+                self._handle_record(known._replace(state=state), None)
         self._push()
         return self._actions
 
     def receive(self, now, sender, message):
         """Take `message` from the daemon `sender`."""
         self._begin(now)
-        self._health.heard(now)
+        self._health.message_received(now)
         _RECEIVERS[type(message)](self, sender, message)
         return self._actions
 
@@ -142,52 +144,52 @@
         address = known.address if known else address
         self._actions.append(Send(vm_id, address, message))
 
-    def _later(self, period_s):
+    def _jittered(self, period_s):
         return self._now + period_s * self._rng.uniform(0.5, 1.5)
 
     # Records
 
-    def _hear(self, member, source):
+    def _handle_record(self, member, source):
         if member.vm_id == self.me.vm_id:
-            self._hear_of_me(member)
+            self._handle_own_record(member)
             return
         if source:
-            self._news.heard(source, member)
+            self._news.mark_received(source, member)
         is_known = member.vm_id in self.members_by_id
         if is_known or member.state is not messages.State.DEAD:
-            self._take(member, source)
+            self._merge(member, source)
 
-    def _hear_of_me(self, member):
+    def _handle_own_record(self, member):
         leaving = messages.State.LEAVING
         if member.incarnation < self._born:
             return  # an earlier start's record; what it left is past
         if member.state is leaving and self.me.state is not leaving:
             top = max(member.incarnation, self.me.incarnation)
-            self._restate(top + 1, leaving)
+            self._update_own_record(top + 1, leaving)
         elif member.rank > self.me.rank:
-            self._restate(member.incarnation + 1, self.me.state)
+            self._update_own_record(member.incarnation + 1, self.me.state)
 
-    def _restate(self, incarnation, state):
+    def _update_own_record(self, incarnation, state):
         self.me = self.me._replace(incarnation=incarnation, state=state)
-        self._take(self.me)
+        self._merge(self.me)
 
-    def _take(self, member, source=None, is_news=True):
+    def _merge(self, member, source=None, is_news=True):
         before = self.members_by_id.get(member.vm_id)
         if not self._table.merge(member):
             return False
         self._actions.append(Changed(before, member))
-        self._settle(member)
-        self._place(member)
+        self._end_trial(member)
+        self._update_rings(member)
         if is_news:
             self._news.add(member, source, self._now)
         return True
 
-    def _settle(self, member):
+    def _end_trial(self, member):
         claim = self._watch.claim(member.vm_id)
         if claim and member.rank >= claim.rank:
-            self._watch.settle(member.vm_id)
+            self._watch.end_trial(member.vm_id)
 
-    def _place(self, member):
+    def _update_rings(self, member):
         is_placed = member.vm_id in self._rings
         is_dead = member.state is messages.State.DEAD
         if is_dead:
@@ -196,12 +198,12 @@
             self._died_at_by_id.pop(member.vm_id, None)
         if is_placed and is_dead:
             self._rings.remove(member.vm_id)
-            self._link_up()
+            self._update_neighbours()
         elif not is_placed and not is_dead:
             self._rings.add(member.vm_id, member.failure_domain)
-            self._link_up()
+            self._update_neighbours()
 
-    def _link_up(self):
+    def _update_neighbours(self):
         successors = self._rings.successors(self.me.vm_id)
         self._watch.set_neighbours(successors, self._now)
         self._news.set_neighbours(self.neighbours)
@@ -212,12 +214,12 @@
         number = next(self._numbers)
         self._watch.sent(vm_id, number, self._now)
         members = self._news.take(vm_id, number, self._now)
-        doubt = self._doubt(vm_id)
-        if doubt and doubt not in members:
-            members.append(doubt)
+        to_refute = self._record_to_refute(vm_id)
+        if to_refute and to_refute not in members:
+            members.append(to_refute)
         self._send(vm_id, messages.Heartbeat(number, members))
 
-    def _doubt(self, vm_id):
+    def _record_to_refute(self, vm_id):
         """Return what `vm_id` should hear of itself, to refute it."""
         claim = self._watch.claim(vm_id)
         if claim:
@@ -229,12 +231,12 @@
 
     def _receive_heartbeat(self, sender, heartbeat):
         for member in heartbeat.members:
-            self._hear(member, sender)
-        is_asked = any(m.vm_id == self.me.vm_id for m in heartbeat.members)
-        about = [self.me] if is_asked else []
-        doubt = self._doubt(sender)
-        if doubt:
-            about.append(doubt)
+            self._handle_record(member, sender)
+        names_me = any(m.vm_id == self.me.vm_id for m in heartbeat.members)
+        about = [self.me] if names_me else []
+        to_refute = self._record_to_refute(sender)
+        if to_refute:
+            about.append(to_refute)
         self._send(sender, messages.Ack(heartbeat.number, about))
         if sender not in self.members_by_id:
             self._send(sender, self._digest())
@@ -244,37 +246,37 @@
             self._health.answered()
         self._news.acknowledge(sender, ack.number)
         for member in ack.members:
-            self._hear(member, sender)
-        asker = self._watch.asker(sender, ack.number)
-        if asker:
-            self._send(asker, messages.ProbeAck(sender))
+            self._handle_record(member, sender)
+        requester = self._watch.requester(sender, ack.number)
+        if requester:
+            self._send(requester, messages.ProbeAck(sender))
 
     # Failure detection
 
-    def _judge(self):
+    def _detect_failures(self):
         was_isolated = self.is_isolated
         silences_s = self._watch.neighbour_silences_s(self._now)
         self._health.measure(silences_s, self._now)
         if was_isolated and not self.is_isolated:
             # The silences were our own: count them anew.
-            self._watch.forgive()
+            self._watch.reset_silence()
             return
         for vm_id, subject in self._watch.subjects_by_id.items():
-            finding = self._health.find(subject.silence_s(self._now))
+            finding = self._health.evaluate(subject.silence_s(self._now))
             self._act_on(self.members_by_id[vm_id], finding)
 
     def _act_on(self, member, finding):
         claim = self._watch.claim(member.vm_id)
         if finding is detector.Finding.LATE:
-            self._ask_others(member)
+            self._request_probes(member)
         elif finding is detector.Finding.SUSPECT and not claim:
-            self._take(member._replace(state=messages.State.SUSPECT))
+            self._merge(member._replace(state=messages.State.SUSPECT))
         elif finding is detector.Finding.DEAD:
             dead = claim or member
-            self._take(dead._replace(state=messages.State.DEAD))
+            self._merge(dead._replace(state=messages.State.DEAD))
 
-    def _ask_others(self, member):
-        if not self._watch.wants_probe(member.vm_id, self._now):
+    def _request_probes(self, member):
+        if not self._watch.is_probe_due(member.vm_id, self._now):
             return
         helpers = [v for v in self.neighbours if v != member.vm_id]
         probe = messages.Probe(member.vm_id, member.address)
@@ -283,12 +285,12 @@
 
     def _receive_probe(self, sender, probe):
         number = next(self._numbers)
-        self._watch.asked(sender, probe.subject, number, self._now)
+        self._watch.record_probe(sender, probe.subject, number, self._now)
         heartbeat = messages.Heartbeat(number, [])
         self._send(probe.subject, heartbeat, probe.address)
 
     def _receive_probe_ack(self, sender, ack):
-        self._watch.vouched(ack.subject, self._now)
+        self._watch.confirm_alive(ack.subject, self._now)
 
     # Spread and repair
 
@@ -301,11 +303,11 @@
 
     def _exchange(self):
         if self._exchange_at is None:
-            self._exchange_at = self._later(EXCHANGE_PERIOD_S)
+            self._exchange_at = self._jittered(EXCHANGE_PERIOD_S)
         partners = self._watch.neighbours
         if self._now < self._exchange_at or not partners:
             return
-        self._exchange_at = self._later(EXCHANGE_PERIOD_S)
+        self._exchange_at = self._jittered(EXCHANGE_PERIOD_S)
         self._send(self._rng.choice(partners), self._digest())
 
     def _receive_digest(self, sender, digest):
@@ -328,15 +330,15 @@
 
     def _receive_difference(self, sender, difference):
         for member in difference.members:
-            if self._is_claim(member):
+            if self._needs_trial(member):
                 self._watch.challenge(member, self._now)
             else:
-                self._catch_up(sender, member)
+                self._merge_exchanged(sender, member)
         buckets = [b for b in difference.buckets if 0 <= b < table.BUCKETS]
         if difference.wants_answer:
             self._send_difference(sender, buckets, wants_answer=False)
 
-    def _catch_up(self, sender, member):
+    def _merge_exchanged(self, sender, member):
         """Take a record from another's table.
 
         It is old news to most, so it is not flooded: a daemon that
@@ -348,14 +350,14 @@
             or member.state is messages.State.LEAVING
         )
         if is_news:
-            self._hear(member, sender)
+            self._handle_record(member, sender)
             return
         is_dead = member.state is messages.State.DEAD
-        if not is_dead and self._take(member, sender, is_news=False):
-            soon = self._later(CATCH_UP_S)
+        if not is_dead and self._merge(member, sender, is_news=False):
+            soon = self._jittered(FOLLOW_UP_EXCHANGE_S)
             self._exchange_at = min(self._exchange_at or soon, soon)
 
-    def _is_claim(self, member):
+    def _needs_trial(self, member):
         """Say whether `member` must be tried before it counts as dead.
 
         After a split each side calls the other dead; taking its word
@@ -369,18 +371,18 @@
             and known.rank < member.rank
         )
 
-    def _reunite(self):
+    def _probe_dead(self):
         """Try one of the dead now and then: a split may have healed."""
-        if self._reunite_at is None:
-            self._reunite_at = self._later(REUNITE_PERIOD_S)
-        if self._now < self._reunite_at or not self._died_at_by_id:
+        if self._probe_dead_at is None:
+            self._probe_dead_at = self._jittered(DEAD_PROBE_PERIOD_S)
+        if self._now < self._probe_dead_at or not self._died_at_by_id:
             return
-        self._reunite_at = self._later(REUNITE_PERIOD_S)
+        self._probe_dead_at = self._jittered(DEAD_PROBE_PERIOD_S)
         vm_id = self._rng.choice(list(self._died_at_by_id))
         self._send_heartbeat(vm_id)
         self._send(vm_id, self._digest())
 
-    def _bury(self):
+    def _remove_expired(self):
         expired = [
             vm_id
             for vm_id, at in self._died_at_by_id.items()
--- a/packages/decisions/anvilwell_decisions/membership/rings.py
+++ b/packages/decisions/anvilwell_decisions/membership/rings.py
@@ -33,13 +33,13 @@
         """Add a member; it must not be there yet."""
         self._domains_by_id[vm_id] = failure_domain
         for seed, ring in enumerate(self._rings):
-            bisect.insort(ring, _place(vm_id, seed))
+            bisect.insort(ring, _position(vm_id, seed))
 
     def remove(self, vm_id):
         """Remove a member that is there."""
         del self._domains_by_id[vm_id]
         for seed, ring in enumerate(self._rings):
-            del ring[bisect.bisect_left(ring, _place(vm_id, seed))]
+            del ring[bisect.bisect_left(ring, _position(vm_id, seed))]
 
     def successors(self, vm_id):
         """Return the ids to send heartbeats to.
@@ -48,9 +48,11 @@
         """
         found = dict.fromkeys(self._next_on_rings(vm_id, 1))
         found.pop(vm_id, None)
-        home = self._domains_by_id[vm_id]
-        if found and all(self._domains_by_id[v] == home for v in found):
-            found.update(dict.fromkeys(self._abroad(vm_id, home)))
+        own_domain = self._domains_by_id[vm_id]
+        if found and all(self._domains_by_id[v] == own_domain for v in found):
+            found.update(
+                dict.fromkeys(self._next_in_other_domain(vm_id, own_domain))
+            )
         return list(found)
 
     def predecessors(self, vm_id):
@@ -61,17 +63,17 @@
 
     def _next_on_rings(self, vm_id, step):
         for seed, ring in enumerate(self._rings):
-            index = bisect.bisect_left(ring, _place(vm_id, seed))
+            index = bisect.bisect_left(ring, _position(vm_id, seed))
             yield ring[(index + step) % len(ring)][1]
 
-    def _abroad(self, vm_id, home):
+    def _next_in_other_domain(self, vm_id, own_domain):
         ring = self._rings[0]
-        start = bisect.bisect_left(ring, _place(vm_id, 0)) + 1
+        start = bisect.bisect_left(ring, _position(vm_id, 0)) + 1
         steps = range(start, start + min(len(ring), MAX_WALK))
         ids = (ring[step % len(ring)][1] for step in steps)
-        others = (v for v in ids if self._domains_by_id[v] != home)
+        others = (v for v in ids if self._domains_by_id[v] != own_domain)
         return itertools.islice(others, 1)
 
 
-def _place(vm_id, seed):
+def _position(vm_id, seed):
     return (xxhash.xxh64_intdigest(vm_id.encode(), seed=seed), vm_id)
--- a/packages/decisions/anvilwell_decisions/membership/vmlist.py
+++ b/packages/decisions/anvilwell_decisions/membership/vmlist.py
@@ -57,9 +57,9 @@
         if member.failure_domain == me.failure_domain
         and member.state is messages.State.LIVE
     )
-    ranked = sorted(candidates, key=_place)
+    ranked = sorted(candidates, key=_rank)
     return me.vm_id in itertools.islice(ranked, READERS_PER_DOMAIN)
 
 
-def _place(vm_id):
+def _rank(vm_id):
     return xxhash.xxh64_intdigest(vm_id.encode())
--- a/packages/decisions/anvilwell_decisions/membership/watch.py
+++ b/packages/decisions/anvilwell_decisions/membership/watch.py
@@ -6,7 +6,7 @@
 from anvilwell_kernel.messages import membership as messages
 
 MAX_CHALLENGES = 16
-PROBE_KEPT_S = 2.0
+PROBE_TTL_S = 2.0
 
 
 class Challenge(typing.NamedTuple):
@@ -16,7 +16,7 @@
     subject: detector.Subject
 
 
-class Asker(typing.NamedTuple):
+class ProbeRequester(typing.NamedTuple):
     """Who asked for a probe, and when."""
 
     vm_id: str
@@ -30,7 +30,7 @@
     def __init__(self):
         self._subjects_by_id = {}
         self._challenges_by_id = {}
-        self._askers_by_number = {}
+        self._requesters_by_number = {}
 
     @property
     def subjects_by_id(self):
@@ -62,7 +62,7 @@
         challenge = self._challenges_by_id.get(vm_id)
         return challenge and challenge.claim
 
-    def settle(self, vm_id):
+    def end_trial(self, vm_id):
         """End the trial of `vm_id`."""
         self._challenges_by_id.pop(vm_id, None)
 
@@ -85,25 +85,25 @@
         subject = self.subjects_by_id.get(vm_id)
         if not subject or not subject.acked(number):
             return False
-        self.settle(vm_id)
+        self.end_trial(vm_id)
         return True
 
-    def vouched(self, vm_id, now):
+    def confirm_alive(self, vm_id, now):
         """Note that another neighbour reached `vm_id`."""
         subject = self.subjects_by_id.get(vm_id)
         if subject:
-            subject.vouched(now)
+            subject.confirm_alive(now)
 
-    def forgive(self):
+    def reset_silence(self):
         """Start counting silences anew."""
         for subject in self.subjects_by_id.values():
-            subject.forgive()
+            subject.reset_silence()
 
     def neighbour_silences_s(self, now):
         """Return the silences of the neighbours alone."""
         return [s.silence_s(now) for s in self._subjects_by_id.values()]
 
-    def wants_probe(self, vm_id, now):
+    def is_probe_due(self, vm_id, now):
         """Say whether it is time to ask others to try `vm_id`."""
         subject = self.subjects_by_id[vm_id]
         last = subject.probed_at
@@ -112,19 +112,21 @@
         subject.probed_at = now
         return True
 
-    def asked(self, asker, subject, number, now):
+    def record_probe(self, requester, subject, number, now):
         """Note that heartbeat `number` tries `subject` for `asker`."""
-        self._askers_by_number = {
+        self._requesters_by_number = {
             n: a
-            for n, a in self._askers_by_number.items()
-            if now - a.at < PROBE_KEPT_S
+            for n, a in self._requesters_by_number.items()
+            if now - a.at < PROBE_TTL_S
         }
-        self._askers_by_number[number] = Asker(asker, subject, now)
+        self._requesters_by_number[number] = ProbeRequester(
+            requester, subject, now
+        )
 
-    def asker(self, subject, number):
+    def requester(self, subject, number):
         """Return who waits for the ack of probe `number`, or None."""
-        asker = self._askers_by_number.get(number)
-        if asker is None or asker.subject != subject:
+        requester = self._requesters_by_number.get(number)
+        if requester is None or requester.subject != subject:
             return None
-        del self._askers_by_number[number]
-        return asker.vm_id
+        del self._requesters_by_number[number]
+        return requester.vm_id
--- a/packages/decisions/tests/membership/conftest.py
+++ b/packages/decisions/tests/membership/conftest.py
@@ -53,7 +53,7 @@
         seeds = [v for v in self.nodes_by_id if v != vm_id]
         if seeds:
             joined = self.nodes_by_id[vm_id]
-            self.carry(vm_id, joined.meet(self.now, self.rng.choice(seeds)))
+            self.perform(vm_id, joined.meet(self.now, self.rng.choice(seeds)))
 
     def run(self, seconds):
         end = round(self.now + seconds, 3)
@@ -62,7 +62,7 @@
             self.deliver()
             for vm_id in list(self.nodes_by_id):
                 if self.is_up(vm_id):
-                    self.carry(vm_id, self.nodes_by_id[vm_id].tick(self.now))
+                    self.perform(vm_id, self.nodes_by_id[vm_id].tick(self.now))
 
     def deliver(self):
         while self._queue and self._queue[0][0] <= self.now:
@@ -74,11 +74,11 @@
                     self.enqueue(self.now + TICK_S, sender, send)
                 continue
             target = self.nodes_by_id[send.vm_id]
-            self.carry(
+            self.perform(
                 send.vm_id, target.receive(self.now, sender, send.message)
             )
 
-    def carry(self, sender, actions):
+    def perform(self, sender, actions):
         for action in actions:
             if isinstance(action, node.Changed):
                 self.changes.append((self.now, sender, action))
--- a/packages/decisions/tests/membership/test_fleet_machine.py
+++ b/packages/decisions/tests/membership/test_fleet_machine.py
@@ -19,7 +19,7 @@
 SPLIT_S = 8.0
 MEET_S = 15.0
 HEALED_WITHIN_S = 60.0
-LOOK_S = 4.0
+CHECK_INTERVAL_S = 4.0
 WHO = st.sampled_from([f"vm{n}" for n in range(DAEMONS)])
 # Fewer than elsewhere: an example takes a tenth of a second.
 EXAMPLES = max(50, hypothesis.settings.default.max_examples // 4)
@@ -100,7 +100,7 @@
     @stateful.rule(east=st.sets(WHO, min_size=1))
     def split_for_long(self, east):
         """Sides that call each other dead meet, and bury nobody."""
-        self.calm_down()
+        self.settle()
         self.split(east)
         self.fleet.run(SPLIT_S)
         self.heal()
@@ -114,13 +114,13 @@
         }
         assert buried <= self.fleet.down
 
-    def calm_down(self):
+    def settle(self):
         """Let a disturbed fleet come to rest."""
-        self.be_well()
+        self.clear_disturbances()
         self.fleet.run(CALM_S)
         self.run_until_right()
 
-    def be_well(self):
+    def clear_disturbances(self):
         fleet = self.fleet
         fleet.paused.clear()
         fleet.group_by_id = {}
@@ -138,7 +138,7 @@
         """All know in time, also if what was first sent is lost."""
         if who in self.fleet.down or who in self.leaving:
             return
-        self.calm_down()
+        self.settle()
         self.fleet.loss = 1.0 if is_lost else 0.0
         self.announce(who, by_list)
         self.fleet.loss = 0.0
@@ -149,9 +149,9 @@
         fleet = self.fleet
         node = fleet.nodes_by_id[who]
         if by_list:
-            fleet.carry(who, node.mark_leaving(fleet.now, [who]))
+            fleet.perform(who, node.mark_leaving(fleet.now, [who]))
         else:
-            fleet.carry(who, node.leave(fleet.now))
+            fleet.perform(who, node.leave(fleet.now))
         self.leaving.add(who)
 
     @stateful.rule(who=WHO)
@@ -160,7 +160,7 @@
         others = set(self.fleet.nodes_by_id) - self.fleet.down - {who}
         if len(others) < LEFT_UP or who in self.fleet.down:
             return
-        self.calm_down()
+        self.settle()
         self.fleet.down.add(who)
         self.fleet.run(DEAD_WITHIN_S)
         assert set(self.fleet.states_of(who).values()) == {DEAD}
@@ -189,26 +189,26 @@
 
     def teardown(self):
         """When all is well again, all agree, are right and stay so."""
-        self.be_well()
+        self.clear_disturbances()
         self.run_until_right()
-        self.fleet.run(LOOK_S)
+        self.fleet.run(CHECK_INTERVAL_S)
         self.nobody_is_forgotten()
-        self.all_are_right()
+        self.assert_views_are_right()
 
     def run_until_right(self):
         end = self.fleet.now + HEALED_WITHIN_S
-        while self.fleet.now < end and not self.is_right():
-            self.fleet.run(LOOK_S)
-        self.all_are_right()
+        while self.fleet.now < end and not self.views_are_right():
+            self.fleet.run(CHECK_INTERVAL_S)
+        self.assert_views_are_right()
 
-    def is_right(self):
+    def views_are_right(self):
         try:
-            self.all_are_right()
+            self.assert_views_are_right()
         except AssertionError:
             return False
         return True
 
-    def all_are_right(self):
+    def assert_views_are_right(self):
         up = set(self.fleet.nodes_by_id) - self.fleet.down
         for view in self.fleet.views().values():
             assert up <= set(view)
--- a/packages/decisions/tests/membership/test_node.py
+++ b/packages/decisions/tests/membership/test_node.py
@@ -41,7 +41,7 @@
 ):
     fleet = formed(60)
     leaver = fleet.nodes_by_id["vm7"]
-    fleet.carry("vm7", leaver.leave(fleet.now))
+    fleet.perform("vm7", leaver.leave(fleet.now))
     fleet.run(1.0)
     assert_all_see(fleet, "vm7", LEAVING)
 
@@ -49,7 +49,7 @@
 def test_leaving_is_known_within_3_s_although_messages_are_lost(formed):
     fleet = formed(40)
     fleet.loss = 0.1
-    fleet.carry("vm7", fleet.nodes_by_id["vm7"].leave(fleet.now))
+    fleet.perform("vm7", fleet.nodes_by_id["vm7"].leave(fleet.now))
     fleet.run(KNOWN_WITHIN_S)
     assert_all_see(fleet, "vm7", LEAVING)
 
@@ -57,7 +57,7 @@
 def test_vm_list_word_reaches_the_leaving_daemon_itself(formed):
     fleet = formed(12)
     reader = fleet.nodes_by_id["vm1"]
-    fleet.carry("vm1", reader.mark_leaving(fleet.now, ["vm5"]))
+    fleet.perform("vm1", reader.mark_leaving(fleet.now, ["vm5"]))
     fleet.run(KNOWN_WITHIN_S)
     assert_all_see(fleet, "vm5", LEAVING)
     assert fleet.nodes_by_id["vm5"].me.state is LEAVING
@@ -93,13 +93,13 @@
 
 def test_daemon_that_left_and_started_again_is_live(formed):
     fleet = formed(10)
-    fleet.carry("vm4", fleet.nodes_by_id["vm4"].leave(fleet.now))
+    fleet.perform("vm4", fleet.nodes_by_id["vm4"].leave(fleet.now))
     fleet.run(0.2)
     fleet.add("vm4", "d1", incarnation=3)
     fleet.run(5.0)
     assert set(fleet.states_of("vm4").values()) == {LIVE}
     reader = fleet.nodes_by_id["vm1"]
-    fleet.carry("vm1", reader.mark_leaving(fleet.now, ["vm4"]))
+    fleet.perform("vm1", reader.mark_leaving(fleet.now, ["vm4"]))
     fleet.run(5.0)
     assert set(fleet.states_of("vm4").values()) == {LEAVING}
 
@@ -212,8 +212,8 @@
     for at, sender, send in fleet.sent:
         if at > begin and isinstance(send.message, messages.Heartbeat):
             carried[sender] += len(send.message.members)
-    doubts = 12 * 40
-    allowed = news.BURST + news.RATE_PER_S * 40 + doubts
+    refutations = 12 * 40
+    allowed = news.BURST + news.RATE_PER_S * 40 + refutations
     assert max(carried.values()) <= allowed
 
 
@@ -251,13 +251,13 @@
     begin = len(fleet.sent)
     fleet.add("late", "d1")
     fleet.run(10.0)
-    told = [
+    announced = [
         member.vm_id
         for _, sender, send in fleet.sent[begin:]
         if sender == "late" and isinstance(send.message, messages.Heartbeat)
         for member in send.message.members
     ]
     # Its own record, and that of the daemon it joined by.
-    assert len(set(told)) <= 2
+    assert len(set(announced)) <= 2
     assert set(fleet.states_of("late").values()) == {LIVE}
     assert len(fleet.states_of("late")) == 41
--- a/packages/decisions/tests/samples/path_world.py
+++ b/packages/decisions/tests/samples/path_world.py
@@ -415,7 +415,7 @@
         entry.perform(entry.coordinator.replica("e", 8, version))
 
     def begin(self, entry, start, incarnation):
-        """Start an attempt on the engine, whose version may change meanwhile."""
+        """Start an attempt on the engine; its version may change meanwhile."""
         versions = [self.engine_version]
         self.reach("token")
         self.send(
