--- a/packages/decisions/anvilwell_decisions/configuration/flows.py
+++ b/packages/decisions/anvilwell_decisions/configuration/flows.py
@@ -54,10 +54,10 @@
     members = registry.decode(slot.value)
     if instance not in members.instances:
         value = registry.encode(registry.join(members, instance))
-        landed = yield proposal.CompareAndSwap(
+        is_applied = yield proposal.CompareAndSwap(
             [proposal.Write(key, slot.revision, value)]
         )
-        if not landed:
+        if not is_applied:
             return None
     return (yield ReadRecords(role.service))
 
@@ -103,8 +103,8 @@
     found = resolution.resolve(slot, prepare, in_force)
     if found.write is None:
         return found.document
-    landed = yield proposal.CompareAndSwap([found.write])
-    return found.tombstone if landed else None
+    is_applied = yield proposal.CompareAndSwap([found.write])
+    return found.tombstone if is_applied else None
 
 
 def read_keys(service):
--- a/packages/decisions/anvilwell_decisions/configuration/proposal.py
+++ b/packages/decisions/anvilwell_decisions/configuration/proposal.py
@@ -175,11 +175,11 @@
             self._prepared_by_key[key] = instance
         return self._swap_if_ready()
 
-    def on_swap(self, landed, now):
+    def on_swap(self, is_applied, now):
         """Process whether the accepting write was applied."""
         if self.phase is not Phase.SWAPPING:
             return []
-        if landed:
+        if is_applied:
             return self._commit(self._prepare.document)
         self.phase = Phase.READING_BACK
         return [Read()]
@@ -244,8 +244,8 @@
 
     def _on_reading_back(self, reading, now):
         record = records.decode(reading.record.value, self.request.service)
-        landed = records.find_attempt(record, self.attempt)
-        if landed is not None:
+        change = records.find_attempt(record, self.attempt)
+        if change is not None:
             return self._commit(self._prepare.document)
         if record.sequence > self._prepare.base_sequence:
             return self._abort(reasons.Refusal.CONFLICT)
@@ -386,9 +386,9 @@
             self.phase = Phase.READING_BACK
             return []
         self.phase = Phase.DONE
-        asked = self._prepared_by_key | self._waiting_by_key
+        targets = self._prepared_by_key | self._waiting_by_key
         abort = messages.AbortChange(
-            self.attempt, self.request.service, list(asked.values())
+            self.attempt, self.request.service, list(targets.values())
         )
         answer = self._reply(
             outcomes.OutcomeKind.REFUSED,
--- a/packages/decisions/anvilwell_decisions/configuration/resolution.py
+++ b/packages/decisions/anvilwell_decisions/configuration/resolution.py
@@ -47,8 +47,8 @@
         return Resolution(records.document_of(record))
     if max(record.sequence, in_force.sequence) < prepare.base_sequence:
         return Resolution(None)
-    dead = records.tombstone(record, in_force)
+    tombstone = records.tombstone(record, in_force)
     write = proposal.Write(
-        registry.record_key(service), slot.revision, records.encode(dead)
+        registry.record_key(service), slot.revision, records.encode(tombstone)
     )
-    return Resolution(None, write, records.document_of(dead))
+    return Resolution(None, write, records.document_of(tombstone))
--- a/packages/decisions/anvilwell_decisions/configuration/sponsorship.py
+++ b/packages/decisions/anvilwell_decisions/configuration/sponsorship.py
@@ -33,11 +33,11 @@
         self.is_listed = True
         self.sponsored = None
 
-    def record_sponsor_answer(self, sponsor, asked_at):
-        """Record that `sponsor` granted a request sent at `asked_at`."""
+    def record_sponsor_answer(self, sponsor, requested_at):
+        """Record that `sponsor` granted a request sent at `requested_at`."""
         if self.is_listed:
             return
-        self.sponsored = Sponsored(sponsor, asked_at)
+        self.sponsored = Sponsored(sponsor, requested_at)
 
     def may_serve(self, now):
         """Return whether this instance may serve at `now`."""
--- a/packages/decisions/tests/configuration/configuration_world.py
+++ b/packages/decisions/tests/configuration/configuration_world.py
@@ -144,12 +144,12 @@
         if self.proposal:
             self.act(self.proposal.on_answer(answer, self.world.now))
 
-    def _on_swap(self, landed, never_sent):
+    def _on_swap(self, is_applied, never_sent):
         now = self.world.now
-        if landed is None:
+        if is_applied is None:
             self.act(self.proposal.on_swap_lost(never_sent, now))
         else:
-            self.act(self.proposal.on_swap(landed, now))
+            self.act(self.proposal.on_swap(is_applied, now))
 
     def _advance(self, flow, done, instance, result, never_sent=False):
         if instance is not self.instance or not self.is_alive:
@@ -193,12 +193,14 @@
                 functools.partial(self._on_sponsor, self.world.now),
             )
 
-    def _on_sponsor(self, asked_at, answer):
+    def _on_sponsor(self, requested_at, answer):
         if not answer.granted:
             return
         for document in answer.documents:
             self.member.learn(document)
-        self.member.membership.record_sponsor_answer(answer.sponsor, asked_at)
+        self.member.membership.record_sponsor_answer(
+            answer.sponsor, requested_at
+        )
 
     def _position(self, prepare):
         fellows = [
@@ -228,7 +230,7 @@
         self.held = []
         self.cut = frozenset()
         self.without_store = frozenset()
-        self.landed_at_by_generation = {}
+        self.accepted_at_by_generation = {}
         self.refused_attempts = set()
         self.refused_texts = set()
         self.in_force_generation = 0
@@ -284,7 +286,7 @@
             self.refused_attempts.add(attempt)
             self.refused_texts.add(request.text)
         if outcome.outcome is outcomes.OutcomeKind.IN_FORCE:
-            assert outcome.generation in self.landed_at_by_generation
+            assert outcome.generation in self.accepted_at_by_generation
             self.in_force_generation = max(
                 self.in_force_generation, outcome.generation
             )
@@ -406,7 +408,7 @@
         oldest = max(
             (
                 generation
-                for generation, at in self.landed_at_by_generation.items()
+                for generation, at in self.accepted_at_by_generation.items()
                 if at + BOUNDS.fence_s <= self.now
             ),
             default=0,
@@ -416,7 +418,7 @@
             assert served is None or served >= oldest, (
                 f"{node.vm_id} serves {served} after the fence of {oldest}"
             )
-            assert served is None or served in self.landed_at_by_generation
+            assert served is None or served in self.accepted_at_by_generation
 
     def check_settled(self):
         """Assert that all running nodes serve the accepted generation."""
@@ -483,7 +485,7 @@
             return None
         result = self.store.apply(call.action)
         generation = self.store.record().generation
-        self.landed_at_by_generation.setdefault(generation, self.now)
+        self.accepted_at_by_generation.setdefault(generation, self.now)
         return result
 
 
--- a/packages/decisions/tests/configuration/test_scenarios.py
+++ b/packages/decisions/tests/configuration/test_scenarios.py
@@ -159,7 +159,7 @@
     world.nodes_by_id["b2"].start()
     world.flush()
     world.wire.append(swap)
-    deliver_until(world, lambda: 2 in world.landed_at_by_generation)
+    deliver_until(world, lambda: 2 in world.accepted_at_by_generation)
     world.cut = frozenset(("b2",))
     world.advance(worlds.BOUNDS.fence_s)
     world.check()
@@ -177,7 +177,7 @@
     world.nodes_by_id[vm_id].start()
     world.flush()
     world.wire.append(swap)
-    deliver_until(world, lambda: 2 in world.landed_at_by_generation)
+    deliver_until(world, lambda: 2 in world.accepted_at_by_generation)
     world.cut = frozenset((vm_id,))
     world.advance(worlds.BOUNDS.fence_s)
     world.check()
@@ -235,7 +235,7 @@
     world = make_world()
     starting = make_sponsored(world)
     propose(world, "a1", "second")
-    deliver_until(world, lambda: 2 in world.landed_at_by_generation)
+    deliver_until(world, lambda: 2 in world.accepted_at_by_generation)
     world.nodes_by_id["a1"].is_alive = False
     world.store.is_up = False
     world.wire.clear()
@@ -313,7 +313,7 @@
     assert world.generation_served(starting) == 1
     world.store.is_up = True
     propose(world, "a1", "second")
-    deliver_until(world, lambda: 2 in world.landed_at_by_generation)
+    deliver_until(world, lambda: 2 in world.accepted_at_by_generation)
     world.wire.clear()
     world.advance(worlds.BOUNDS.fence_s)
     world.check()
