--- a/packages/gateway/anvilwell_gateway/aborting.py
+++ b/packages/gateway/anvilwell_gateway/aborting.py
@@ -14,7 +14,7 @@
 
 
 class RequestAborter:
-    """Aborts the requests of one server by an error in their handlers.
+    """Aborts a server's requests by raising an error in their handlers.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
 
     @contextlib.asynccontextmanager
     async def guard(self):
-        """Run the handler of one request, which `abort` interrupts.
+        """Run one request's handler so that `abort` can interrupt it.
 
         Raises
         ------
--- a/packages/gateway/anvilwell_gateway/admission.py
+++ b/packages/gateway/anvilwell_gateway/admission.py
@@ -4,9 +4,9 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
 
-# Longest time until a change of the configuration is in force at an entry
-# that the store answers, in seconds; see `presence.MAX_ANSWER_AGE_S`. A
-# revoked key may be accepted for this long after the store's last answer.
+# Longest time until an entry in contact with the store applies a changed
+# configuration, in seconds; see `presence.MAX_ANSWER_AGE_S`. A revoked key may
+# be accepted for this long after the store's last answer.
 MAX_CONFIGURATION_DELAY_S = 2.0
 
 
@@ -87,10 +87,10 @@
             raise
 
     def _check_confirmed(self):
-        """Refuse keys if the store has not answered for too long.
+        """Refuse the request if cached organisation keys may be outdated.
 
-        A key may have been revoked since; applies only with strict
-        revocation.
+        They may be once the store has not answered for too long, as a key may
+        have been revoked since. Applies only with strict revocation.
         """
         limit_s = self._settings.revocation_limit_s - MAX_CONFIGURATION_DELAY_S
         is_late = self._presence.answer_age_s() > limit_s
--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -1,8 +1,8 @@
-"""The agent role: keeps the engine on its VM at the wanted versions.
+"""The agent role: loads the versions that trainers name into an engine.
 
-An agent has priority over entries. An entry orders for an engine only
-after it has received nothing from the agent for some seconds, and the
-claim in the store decides which of them may give orders.
+An agent has priority over entries. An entry gives orders to an engine only
+after it has received nothing from the engine's agent for some seconds, and the
+claim in the store decides which process may give orders.
 """
 
 import asyncio
@@ -22,8 +22,8 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.telemetry import logs
 
-# Seconds between pings of the store. A version has to be in force two
-# seconds after a trainer named it, so a lost store must show sooner.
+# Seconds between pings of the store. A version must be in force two seconds
+# after a trainer names it, so the loss of the store must be detected sooner.
 PING_INTERVAL_S = 1.0
 # Seconds between checks whether a ping is due. It is shorter than the
 # ping interval so that the first ping is sent at once when the entry that
@@ -32,18 +32,18 @@
 # Age in seconds up to which an answered ping proves that the store can be
 # reached.
 PING_FRESHNESS_S = 0.5
-# Seconds to wait for a first entry before versions are followed at the
-# store itself.
+# Seconds to wait for the first entry to register. If none does, the agent
+# reads versions from the store itself.
 ENTRY_WAIT_S = 0.5
 # Seconds between checks whether the engine lost a version, by a restart or
 # by an order that was carried out late. The engine runs on the same VM, so
 # a report costs no network traffic.
 ENGINE_CHECK_INTERVAL_S = 1.0
-# Seconds between checks whether the engines that keep the models which this
-# one does not keep are gone. They are seldom all gone at once, but then no
+# Seconds between checks whether other engines still keep the models that this
+# engine leaves to them. Those engines are seldom all gone at once, but then no
 # engine would load their models before the next version is named. The
-# registrations are read again only if a version that was named meanwhile
-# has not caused a read within this time.
+# registrations are read again only if no version that was named meanwhile has
+# caused a read within this time.
 KEEPER_CHECK_INTERVAL_S = 5.0
 
 _LOG = logs.get_logger(__name__)
@@ -314,9 +314,9 @@
             return None
         addresses = await self._addresses()
         if model not in self._lags_by_model:
-            # Without the lag all engines would load a trainer's first
-            # version: with 31 engines, that made 30 loads a day beyond
-            # those that cost nothing.
+            # If the lag were not known first, all engines would load a
+            # trainer's first version: with 31 engines, that made 30 loads a
+            # day beyond those that cost nothing.
             await lag_task
         lag = self._lags_by_model.get(model)
         position = self._load_position(
--- a/packages/gateway/anvilwell_gateway/attempts.py
+++ b/packages/gateway/anvilwell_gateway/attempts.py
@@ -203,7 +203,7 @@
 
     @contextlib.asynccontextmanager
     async def _trial(self):
-        """Hold the trial of a suspect request, which one entry has at a time.
+        """Hold the trial of a suspect request, held by one entry at a time.
 
         Sets how long the request must wait if another entry has the trial.
         """
@@ -290,7 +290,7 @@
             self._forwarder.count_start(self.organisation, at)
 
     async def _ask(self, replica):
-        """Return the `BufferedResponse` of one replica."""
+        """Send the request to a replica; return its `BufferedResponse`."""
         started_at = self._record_start(replica)
         failed = True
         response = None
@@ -309,9 +309,9 @@
             verdict = error.verdict
             raise
         except asyncio.CancelledError:
-            # Cancelled by the response to another attempt, the deadline or
-            # the caller. It counts as failed if it has taken longer than the
-            # delay before a hedge.
+            # The attempt was cancelled by the response to another attempt, by
+            # the deadline or by the caller. It counts as failed if it has
+            # taken longer than the delay before a hedge.
             hedge_s = HEDGE_SHARE * self._route.target_latency_s
             failed = self._loop.time() - started_at > hedge_s
             raise
--- a/packages/gateway/anvilwell_gateway/cluster_state.py
+++ b/packages/gateway/anvilwell_gateway/cluster_state.py
@@ -21,9 +21,9 @@
     Parameters
     ----------
     store : store.AsyncStore
-        Where the entries are kept.
+        The store to follow.
     presence : presence.Presence
-        The presence of this process, informed if its live key is lost.
+        The presence of this process, notified if its live key is lost.
     store_path : store_paths.FailoverPath
         Receives the peers that may relay calls to the store.
     neighbours : neighbours.Neighbours
@@ -76,7 +76,7 @@
         self._entry_listeners.append(callback)
 
     def delegate_prefix(self, prefix, delegate):
-        """Pass the entries under a longer prefix to `delegate` as well.
+        """Pass the keys under a longer prefix to `delegate` as well.
 
         The delegate's ``load`` and ``change`` are called as for a follower of
         its own, but it shares this follower's first read and watch.
@@ -84,7 +84,7 @@
         self._delegates_by_prefix[prefix] = delegate
 
     async def read_incarnations(self):
-        """Read incarnations_by_vm from the store.
+        """Return the incarnation of each live VM as read from the store.
 
         The local copy may be older than other data that were just read.
         """
@@ -94,7 +94,7 @@
         )
 
     def load(self, entries_by_key):
-        """Replace the local copy by all current entries."""
+        """Replace the local copy by all current keys and values."""
         before = self.incarnations_by_vm
         self._live.load(entries_by_key)
         ended = {
@@ -180,10 +180,10 @@
         self._has_waited = False
 
     async def _load(self, neighbour):
-        """Read all entries; read them once more if none is live at the start.
+        """Read the live keys, and once more if no entry is live at the start.
 
-        A watch would report the first entry too. By then, however, some
-        prefixes would be watched at the store directly, until they change for
+        A watch would report the first entry too. By then, however, this agent
+        would watch some prefixes at the store directly, until they change for
         the first time.
         """
         revision = await super()._load(neighbour)
@@ -194,7 +194,7 @@
         return await super()._load(neighbour)
 
     def load(self, entries_by_key):
-        """Replace the local copy by all current entries."""
+        """Replace the local copy by all current keys and values."""
         self._live.load(entries_by_key)
         self._on_change(self._live)
 
--- a/packages/gateway/anvilwell_gateway/crash_notifier.py
+++ b/packages/gateway/anvilwell_gateway/crash_notifier.py
@@ -25,8 +25,9 @@
 # Delays between retries, in seconds. The last one repeats without a limit,
 # as an entry that is unreachable from here may still serve callers.
 RETRY_DELAYS_S = (0.25, 0.5, 1.0, 2.0, 4.0)
-# Limit of the crashes that are kept for entries which lack them; the oldest
-# are dropped first. It covers all replicas of several racks.
+# Limit on the number of crashes that are kept for entries which have not
+# acknowledged them; the oldest are dropped first. It covers all replicas of
+# several racks.
 MAX_PENDING_CRASHES = 256
 
 
--- a/packages/gateway/anvilwell_gateway/crash_sync.py
+++ b/packages/gateway/anvilwell_gateway/crash_sync.py
@@ -1,8 +1,9 @@
 """Fetches from other entries which requests crashed replicas.
 
 An entry reports a crash to the entries that it knows at that time. One that
-starts during an outage of the store has missed all earlier reports, and can't
-register, so that nobody sends it new ones; yet it may accept callers.
+starts during an outage of the store has missed all earlier reports. It can't
+register, so other entries send it no new reports either; yet it may accept
+callers.
 """
 
 import asyncio
@@ -35,12 +36,12 @@
 
 
 class CrashSync:
-    """Fetches the crashes that a few other entries know.
+    """Fetches the crashes that a few other entries have recorded.
 
     Parameters
     ----------
     vm_id : str
-        This VM, which is not asked.
+        Id of this VM, which is not queried.
     cluster_state : cluster_state.ClusterState
         The live entries and their addresses.
     apply : callable
@@ -56,12 +57,12 @@
         self._task = None
 
     def entries_changed(self):
-        """Ask the entries that are live now, until enough have answered."""
+        """Query live entries for recorded crashes until enough answer."""
         if len(self._answered) < ENTRIES_TO_ASK and self._task is None:
             self._task = asyncio.create_task(self._ask_until_enough())
 
     async def _ask_until_enough(self):
-        """Ask entries in turn, with waits between rounds.
+        """Query live entries in turn, with waits between rounds.
 
         Returns once enough have answered, or once all live entries have; the
         next change of the entries starts it again.
@@ -77,7 +78,7 @@
             self._task = None
 
     def _choose_entries(self):
-        """Return entries to ask next, none once enough have answered."""
+        """Return the entries to query next, none once enough have answered."""
         missing = ENTRIES_TO_ASK - len(self._answered)
         unasked = set(self._cluster_state.addresses_by_vm).difference(
             self._answered, (self._vm_id,)
@@ -101,6 +102,6 @@
             self._apply(one)
 
     async def stop(self):
-        """Stop asking and close the connections."""
+        """Stop the queries and close the connections."""
         await tasks.stop(self._task)
         self._pool.close()
--- a/packages/gateway/anvilwell_gateway/crash_tracker.py
+++ b/packages/gateway/anvilwell_gateway/crash_tracker.py
@@ -2,9 +2,9 @@
 
 A request may arrive at any entry, so each crash that one entry observes is
 shared with all: every entry then refuses the request after its second crash.
-Each entry writes to the store which requests a replica cut when it crashed,
-one write for each replica that crashes while it works. It also notifies the
-other entries directly, as the store may be unreachable at that time.
+When a replica crashes while it works, each entry writes to the store which of
+its requests the replica cut, in one write for each replica. It also notifies
+the other entries directly, as the store may be unreachable at that time.
 """
 
 import asyncio
@@ -128,11 +128,11 @@
             yield self.wait_s(fingerprint)
 
     def is_item_held_back(self, fingerprint):
-        """Return whether `PROVEN_CRASHES` hold an item of a batch back.
+        """Return whether an item of a batch is held back for its crashes.
 
-        Live calls are held back after fewer crashes. The short pause of five
-        seconds would cost an item its training step, which is worth more
-        than one of many engines.
+        An item is held back after `PROVEN_CRASHES`, a live call after fewer
+        crashes. The short pause of five seconds would cost an item its
+        training step, which is worth more than one of many engines.
         """
         wait_s = self._quarantine.wait_s(
             fingerprint, self._loop.time(), quarantines.PROVEN_CRASHES
@@ -144,7 +144,7 @@
         return self._quarantine.crash_count(fingerprint) > 0
 
     def answered(self, fingerprint):
-        """Clear the crashes of a request that a replica answered whole."""
+        """Clear the crashes of a request that a replica answered in full."""
         self._quarantine.clear(fingerprint)
 
     async def note_cut(self, fingerprint, replica):
--- a/packages/gateway/anvilwell_gateway/directory.py
+++ b/packages/gateway/anvilwell_gateway/directory.py
@@ -10,14 +10,14 @@
 from anvilwell_kernel.telemetry import counters
 from anvilwell_kernel.telemetry import logs
 
-# How long lapsed entries may return after an outage of the store, in seconds.
-# If their replica is running, they are back about two seconds after the
-# outage. If it is not, its work must stop within the same two seconds, hence a
-# little less.
+# How long after an outage of the store lapsed registrations may return, in
+# seconds. If their replica is running, they are back about two seconds after
+# the outage. If it is not, its work must stop within the same two seconds, so
+# this limit is a little shorter.
 LAPSE_GRACE_S = 1.7
-# Changes that arrive within this time share one call, in seconds. A replica
-# that leaves may thus receive work for two more seconds; agents report new
-# versions directly.
+# Changes that arrive within this time are fetched with one call, in seconds. A
+# replica that leaves may thus receive work for two more seconds; agents report
+# new versions directly.
 COALESCE_S = 1.2
 # How long an engine is treated as loading if its agent sends no further
 # notice, in seconds: three times the duration of a load.
@@ -235,7 +235,7 @@
         ]
 
     def load(self, entries_by_key):
-        """Apply all entries; after an outage, missing ones may return."""
+        """Apply all registrations; after an outage, lost ones may return."""
         for key in set(self._ids_by_key) - set(entries_by_key):
             self._remove(key)
         for entry in entries_by_key.values():
@@ -243,7 +243,7 @@
         self._notify()
 
     def change(self, change):
-        """Apply the change of one entry."""
+        """Apply the change of one registration."""
         if change.value is None:
             self._remove(change.key)
         else:
@@ -251,11 +251,11 @@
         self._notify()
 
     def regained(self):
-        """Give entries that lapsed in the outage time to return."""
+        """Give registrations that lapsed in the outage time to return."""
         self._regained_at = asyncio.get_running_loop().time()
 
     def _apply(self, key, value):
-        """Apply an entry's value.
+        """Apply the value of a registration.
 
         It may hold the known replica, a new incarnation, or nothing readable.
         """
@@ -336,9 +336,9 @@
 
 
 def read(codec, key, value, unreadable):
-    """Return the replica in an entry, or None if it can't be decoded.
+    """Return the replica in a registration, None if it can't be decoded.
 
-    ``unreadable`` holds the keys of such entries, so that an entry that is
+    ``unreadable`` holds the keys of such registrations, so that one that is
     written repeatedly is logged only once.
     """
     try:
--- a/packages/gateway/anvilwell_gateway/engine_claims.py
+++ b/packages/gateway/anvilwell_gateway/engine_claims.py
@@ -1,9 +1,9 @@
 """Claims in the store that allow one VM at a time to order for an engine.
 
-An agent orders for the engine on its VM. An entry does if there is no
-agent or it is cut off. The fencing number of an order is the store
-revision at which its holder claimed the engine. So a later holder always
-has a higher number, and no two holders ever have the same number.
+An agent gives orders to the engine on its VM. An entry gives them if the
+engine has no agent or the agent is cut off. The fencing number of an order is
+the store revision at which its holder claimed the engine. So a later holder
+always has a higher number, and no two holders ever have the same number.
 """
 
 import asyncio
@@ -87,7 +87,7 @@
     def _usable_at(self, address, claim):
         """Return the loop time from which this VM may use its claim.
 
-        A process that restarted does not know when its VM claimed the
+        A process that restarted has no record of when its VM claimed the
         engine, so it waits the full time from now.
         """
         wait_s = CLAIM_WAIT_S if claim.before else 0.0
@@ -115,7 +115,7 @@
 
 
 def _decode(key, entry):
-    """Return the `EngineClaim` in an entry, None if absent or unreadable."""
+    """Return the stored `EngineClaim`, None if absent or unreadable."""
     if entry is None:
         return None
     try:
--- a/packages/gateway/anvilwell_gateway/engine_listing.py
+++ b/packages/gateway/anvilwell_gateway/engine_listing.py
@@ -13,8 +13,8 @@
 # How long an entry's report is valid, in seconds. A trainer publishes its next
 # version within this time.
 REPORT_VALIDITY_S = 5.0
-# Registrations that were read within this time are used for another model too,
-# in seconds. Stale reads may be older than this.
+# How long registrations that were read for one model are used for another
+# model too, in seconds. The data of stale reads may be older than this.
 MAX_READ_AGE_S = 1.0
 
 _LOG = logs.get_logger(__name__)
--- a/packages/gateway/anvilwell_gateway/feeds.py
+++ b/packages/gateway/anvilwell_gateway/feeds.py
@@ -1,4 +1,4 @@
-"""Serves changes of the store from an entry that watches it to others.
+"""Serves the store's changes to neighbours, which need not watch it.
 
 If every process watched the store itself, the number of calls would be the
 number of processes times the number of changes. Instead, one entry in each
@@ -21,8 +21,8 @@
 from anvilwell_outside.ports import keyvalue
 
 TARGET = "/changes"
-# Changes kept for followers that lag behind. A follower that is further behind
-# reads all entries again.
+# Number of changes kept for followers that lag behind. A follower that is
+# further behind reads all keys again.
 MAX_CHANGES = 2000
 # How long a request waits for a change, in seconds. A neighbour that went
 # silent is noticed after this time plus a margin, so that changes still take
@@ -48,7 +48,7 @@
 
 
 class FeedUpdate(typing.NamedTuple):
-    """The entries or changes of one prefix, up to the store's ``revision``."""
+    """The keys or changes of one prefix, up to the store's ``revision``."""
 
     outcome: FeedStatus
     entries: tuple[keyvalue.Entry, ...] = ()
@@ -59,7 +59,7 @@
 class ChangesRequest(typing.NamedTuple):
     """A neighbour's request for changes, with its revision of each prefix.
 
-    A revision of None requests all entries. ``engine`` is the address of the
+    A revision of None requests all keys. ``engine`` is the address of the
     engine beside the requesting process if that is an agent, else "".
     """
 
@@ -129,7 +129,7 @@
     def read_since(self, revision):
         """Return a `FeedUpdate` with the changes after `revision`.
 
-        A `revision` of None requests all entries.
+        A `revision` of None requests all keys.
         """
         if not self.is_watched:
             return FeedUpdate(FeedStatus.NOT_WATCHED)
@@ -161,7 +161,7 @@
         self._last_contact_at_by_engine = {}
 
     def last_contact_at(self, engine):
-        """Return when an engine's agent last asked, -inf if never."""
+        """Return when an engine's agent last requested changes, or -inf."""
         return self._last_contact_at_by_engine.get(engine, float("-inf"))
 
     def feed(self, prefix):
--- a/packages/gateway/anvilwell_gateway/fleet.py
+++ b/packages/gateway/anvilwell_gateway/fleet.py
@@ -89,7 +89,7 @@
         )
 
     def add_follower(self, follower):
-        """Add a `PrefixFollower` to those that start and stop with this."""
+        """Add a `PrefixFollower` that starts and stops with the fleet."""
         self._followers.append(follower)
 
     def last_contact_at(self, engine):
--- a/packages/gateway/anvilwell_gateway/frontend.py
+++ b/packages/gateway/anvilwell_gateway/frontend.py
@@ -36,7 +36,7 @@
     dialect : dialect.Dialect
         Reads and writes the headers that callers use.
     fleet : fleet.Fleet
-        The configuration, replicas and other entries as followed here.
+        Local copies of the configuration, the replicas and other entries.
     live_calls : live_calls.LiveCalls
         Answers live calls.
     batches : service.Batches
--- a/packages/gateway/anvilwell_gateway/live_calls.py
+++ b/packages/gateway/anvilwell_gateway/live_calls.py
@@ -16,7 +16,7 @@
     platform : platforms.Platform
         The adapter to the platform.
     fleet : fleet.Fleet
-        The configuration, replicas and other entries as followed here.
+        Local copies of the configuration, the replicas and other entries.
     pool : client.Pool
         Connections to replicas.
     """
@@ -52,7 +52,7 @@
 
     @classmethod
     def from_config(cls, settings, platform, fleet, pool, peer_server):
-        """Build live calls whose requests from peers `peer_server` passes."""
+        """Return live calls whose handlers are registered at `peer_server`."""
         live_calls = cls(settings, platform, fleet, pool)
         peer_server.handle(usage_accounting.TARGET, live_calls.usage.answer)
         for target in crash_tracker.TARGETS:
--- a/packages/gateway/anvilwell_gateway/neighbours.py
+++ b/packages/gateway/anvilwell_gateway/neighbours.py
@@ -12,21 +12,21 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_outside.ports import keyvalue
 
-# An entry that has lost contact with the store is only skipped if it has not
-# regained it within this time after the store answered this process, in
-# seconds. After an outage all processes regain contact within a tenth of a
+# How long an entry that has lost contact with the store may take to regain it
+# after the store answered this process, in seconds; only then is the entry
+# skipped. After an outage all processes regain contact within a tenth of a
 # second; without the grace period, those that do so before their neighbour
-# would each read all entries.
+# would each read all keys.
 RECONNECT_GRACE_S = 0.12
-# A lost contact that was first seen longer ago than this belongs to an earlier
-# outage, in seconds.
+# A lost contact that was first seen longer ago than this, in seconds, belongs
+# to an earlier outage.
 NEW_OUTAGE_S = 2.0
 # Added to a request's wait for some round trips and the pauses of a busy VM,
 # in seconds.
 MARGIN_S = 0.5
-# How long a neighbour that failed is not asked again, in seconds; the store is
-# asked meanwhile. By the end of this time the neighbour's live key has lapsed
-# if it is gone.
+# How long a neighbour that failed to answer is not asked again, in seconds;
+# the store is asked meanwhile. If the neighbour is gone, its live key has
+# lapsed by the end of this time.
 BACKOFF_S = 5.0
 # How long a starting process waits for those that start with it to register,
 # in seconds. A watch that begins sooner would go to the store and cost one
@@ -181,8 +181,8 @@
         answered an entry that reports lost contact. If not, the store is
         unavailable to both, and this process keeps asking that entry.
     engine : str, optional
-        Address of the engine beside this process. It shows the entry that the
-        engine's agent is running.
+        Address of the engine beside this process. An entry that receives it
+        concludes that the engine's agent is running.
     """
 
     def __init__(
@@ -230,10 +230,10 @@
         return rendezvous.choose_vm(_DUTY, candidates) == self._vm_id
 
     def ranked(self):
-        """Return all entries, those that serve this VM's domain first.
+        """Return all entries in the order in which to ask them for changes.
 
-        The first one is asked for changes; the others would replace it in this
-        order.
+        The entries that serve this VM's failure domain come first. The first
+        one is asked for changes; the others would replace it in this order.
         """
         near = rendezvous.rank_vms(
             _DUTY, self._candidates(self._failure_domain)
@@ -265,7 +265,7 @@
             _LOG.log("no-entry-known", waited_s=limit_s)
 
     def find(self):
-        """Return the `Neighbour` to ask, or None for the store itself."""
+        """Return the `Neighbour` to ask, or None to ask the store itself."""
         candidates = self._candidates(self._failure_domain)
         chosen = rendezvous.choose_vm(_DUTY, candidates)
         skipped_until = self._skipped_until_by_vm.get(chosen, 0.0)
@@ -294,7 +294,7 @@
         return True
 
     def _may_reconnect(self, now):
-        """Return whether to wait for an entry that lost the store."""
+        """Return whether to keep asking an entry that lost the store."""
         if not self._has_answered_recently():
             self._disconnected_since = float("-inf")
             return True
--- a/packages/gateway/anvilwell_gateway/notices.py
+++ b/packages/gateway/anvilwell_gateway/notices.py
@@ -1,9 +1,10 @@
 """Notices that agents send to entries about their engine's models.
 
-Without notices, an entry sees a new version in the registrations after up to
-two seconds, and learns that an engine is loading only when the engine refuses
-requests. A notice takes a millisecond and costs no call to the key-value
-service. Notices go to the entries that run batches; see ``notice_recipients``.
+Without notices, an entry receives a new version from the registrations only
+after up to two seconds, and detects that an engine is loading only when the
+engine refuses requests. A notice takes a millisecond and costs no call to the
+key-value service. Notices go to the entries that run batches; see
+``anvilwell_decisions.duties.notice_recipients``.
 """
 
 import asyncio
--- a/packages/gateway/anvilwell_gateway/prefix_follower.py
+++ b/packages/gateway/anvilwell_gateway/prefix_follower.py
@@ -14,14 +14,15 @@
 # one call, so longer waits mean fewer calls. The store keeps 20 s of history,
 # and a watch without changes has to return within that time.
 WATCH_WAIT_S = 15.0
-# Changes that arrive within this time share one call, in seconds. It is a
-# quarter of the time that a change may take to arrive, and saves about a third
-# of the calls.
+# Changes that arrive within this time are fetched with one call, in seconds.
+# It is a quarter of the time that a change may take to arrive, and saves about
+# a third of the calls.
 COALESCE_S = 0.25
 # Wait between attempts while the store does not answer, in seconds; it doubles
 # after each attempt up to the maximum. Longer waits cost little, as the first
 # answer to any call of this process, usually a lease renewal or a ping, makes
-# all followers read at once; refused calls are charged as well.
+# all followers read at once. Shorter waits would cost more, as refused calls
+# are charged too.
 RETRY_S = 1.0
 MAX_RETRY_S = 8.0
 # Fraction of each wait that is random, so that the retries of many processes
@@ -35,7 +36,7 @@
 
 
 class PrefixFollower(abc.ABC):
-    """Keeps a local copy of the entries under one prefix.
+    """Keeps a local copy of the keys under one prefix.
 
     A subclass receives full reads through ``load`` and single changes through
     ``change``; it never receives data older than what it received before.
@@ -65,7 +66,7 @@
 
     @abc.abstractmethod
     def load(self, entries_by_key):
-        """Replace the local copy by all current entries."""
+        """Replace the local copy by all current keys and values."""
 
     @abc.abstractmethod
     def change(self, change):
@@ -95,7 +96,7 @@
         await tasks.stop(task)
 
     def restart(self):
-        """Cancel the current watch, which may hang, and read all entries."""
+        """Cancel the current watch, which may hang, and read all keys."""
         if self._task:
             self._feed.suspend()
             self._task.cancel()
@@ -103,7 +104,7 @@
             self.regained()
 
     async def _follow(self):
-        """Read all entries, then watch; start over whenever a watch fails.
+        """Read all keys, then watch; start over whenever a watch fails.
 
         A new watch after a failed one could miss changes made during an outage
         of the store; a full read can't.
@@ -140,7 +141,7 @@
         return self._neighbours and self._neighbours.find()
 
     async def _load_and_watch(self):
-        """Read all entries from the current source, then watch for changes."""
+        """Read all keys from the current source, then watch for changes."""
         revision = await self._load(self._source)
         if self._neighbours and not self._has_settled:
             await self._neighbours.settle()
@@ -209,7 +210,7 @@
             self.regained()
 
     def regained(self):
-        """Handle that the store answers again after an outage."""
+        """React to the store's first answer after an outage."""
 
 
 def _stale_read_error(neighbour):
--- a/packages/gateway/anvilwell_gateway/presence.py
+++ b/packages/gateway/anvilwell_gateway/presence.py
@@ -13,9 +13,9 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_outside.ports import keyvalue
 
-# Lifetime of the lease, in seconds: others take over this long after a crash.
-# Five attempts to renew fit in it; with half of the answers lost, one lease in
-# thirty lapses.
+# Lifetime of the lease, in seconds. Other processes take over this long after
+# a crash. Five attempts to renew fit in it; with half of the answers lost, one
+# lease in thirty lapses.
 TTL_S = 3.5
 RENEW_S = 0.7
 # Wait after a failed renewal, in seconds.
@@ -125,7 +125,8 @@
     def has_answered_recently(self):
         """Return whether the store answers this process after an outage.
 
-        If so, an entry that still has no answer is cut off by itself.
+        If so, an entry without an answer is itself cut off, as the store
+        works.
         """
         return self.answer_age_s() < RECENT_ANSWER_S
 
@@ -148,7 +149,7 @@
         ]
 
     def renew_soon(self):
-        """Renew at once if that is overdue, as the store answers again."""
+        """Renew the lease at once if that is overdue, after an outage."""
         if self.answer_age_s() > RENEW_S:
             self._rewrite.set()
 
--- a/packages/gateway/anvilwell_gateway/store.py
+++ b/packages/gateway/anvilwell_gateway/store.py
@@ -31,7 +31,7 @@
 
 
 class HistoryGone(exceptions.AnvilwellError):
-    """The service no longer keeps these changes; read all entries again."""
+    """The service no longer keeps these changes; read all keys again."""
 
 
 class StoreRecovered(exceptions.KeyValueUnavailable):
@@ -172,8 +172,8 @@
 
     Each swap must expect a revision that applying it changes, so that it is
     applied at most once. If an earlier attempt was applied but its answer was
-    lost, the repeated attempt finds the entry that it wrote; the caller
-    compares values to tell whether the entry is its own.
+    lost, the repeated attempt finds the value that it wrote; the caller
+    compares values to tell whether the stored one is its own.
 
     Parameters
     ----------
--- a/packages/gateway/anvilwell_gateway/store_codec.py
+++ b/packages/gateway/anvilwell_gateway/store_codec.py
@@ -1,10 +1,10 @@
-"""The interface to the encoding of the platform's entries in the store."""
+"""The interface to the platform's keys and their encoded values."""
 
 import abc
 
 
 class StoreCodec(abc.ABC):
-    """Provides the platform's keys and encodes and decodes its entries."""
+    """Names the platform's keys, and encodes and decodes their values."""
 
     configuration_key = ""
     replicas_prefix = ""
@@ -40,7 +40,7 @@
 
     @abc.abstractmethod
     def read_replica(self, key, value):
-        """Decode the `facts.Replica` in an entry.
+        """Decode the `facts.Replica` in a registration.
 
         Raises
         ------
--- a/packages/gateway/anvilwell_gateway/store_paths.py
+++ b/packages/gateway/anvilwell_gateway/store_paths.py
@@ -23,8 +23,8 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
 
-# Limit on the size of a response. Pages of a range hold about 1 MB; a watch
-# may return more at once.
+# Limit on the size of a response, in bytes. Pages of a range hold about 1 MB;
+# a watch may return more at once.
 MAX_ANSWER_BYTES = 32 << 20
 # Interval between probes of the direct path, in seconds. A call through a peer
 # costs that peer processor time; a probe costs a tenth of a call.
@@ -35,8 +35,8 @@
 PEER_MARGIN_S = 0.2
 RELAY_TARGET = "/key-value"
 _POOL_KEY = "key-value"
-# Status of a refusal: from the service, which refuses this VM or all VMs, or
-# from a relay whose call did not run.
+# HTTP status of a refused call: the service refuses this VM or all VMs, or a
+# peer that relays the call reports that the call did not run.
 _NOT_RUN_STATUS = 503
 _UNKNOWN_STATUS = 504
 
@@ -113,7 +113,7 @@
 
 
 class PeerPath(StorePath):
-    """Has a peer make the call.
+    """Sends calls to the service through a peer.
 
     Parameters
     ----------
--- a/packages/gateway/anvilwell_gateway/substitute_ordering.py
+++ b/packages/gateway/anvilwell_gateway/substitute_ordering.py
@@ -1,4 +1,4 @@
-"""Orders for engines whose agent is absent or can't be reached.
+"""Gives orders to engines whose agent is absent or can't be reached.
 
 Without faults only agents give orders. In a deployment without agents, or
 while an agent is down or cut off, its engine would keep its version, and
@@ -13,7 +13,7 @@
 from anvilwell_gateway import version_loading
 from anvilwell_kernel.telemetry import logs
 
-# Seconds between checks of the engines.
+# Seconds between checks for engines that need an order.
 CHECK_INTERVAL_S = 0.5
 # Seconds without contact after which an agent counts as absent; a running
 # agent requests changes each second. An entry that becomes responsible for
