--- a/packages/gateway/anvilwell_gateway/batches/homes.py
+++ b/packages/gateway/anvilwell_gateway/batches/homes.py
@@ -1,4 +1,4 @@
-"""Chooses the entries that run the batches of a service, its homes.
+"""Chooses a service's homes: the entries that run its batches.
 
 Trainers may submit each step to a different entry. If each entry ran the
 batches that it received, ten entries would count the free slots of a replica
@@ -57,7 +57,7 @@
         return tuple(ranked[: self._count(service, eligible)])
 
     def _eligible_vms(self):
-        """Return the VMs that may become homes, as live_by_vm."""
+        """Return the live key's value of each VM that may become a home."""
         live_by_vm = self._cluster_state.live_by_vm
         best = max((one.capacity for one in live_by_vm.values()), default=0.0)
         return {
--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -22,8 +22,9 @@
 # Trainers have been observed to retry six times with hardly a pause between,
 # so that their attempts span an outage of eight seconds.
 REFUSED_TIMEOUT_S = 1.2
-# The same for a store that does not answer. It is a little longer, so that an
-# outcome that becomes certain by then can still be reported.
+# How long a submission waits for a store that does not answer, in seconds. It
+# is a little longer than the wait for a store that refuses, so that an outcome
+# that becomes certain by then can still be reported.
 ACCEPT_TIMEOUT_S = 1.4
 # How long a write of unknown outcome is retried in the background, in seconds:
 # longer than late writes and outages of the store take.
@@ -32,9 +33,9 @@
 # to take it over one after another.
 RANK_DELAY_S = 0.4
 # How long a batch that is taken over waits for older batches that are being
-# taken over here too, in seconds. The first one to open would get the slots
-# that a trainer's earlier step needs: that step ends sooner, but takes longer
-# to read from the store.
+# taken over here too, in seconds. The first batch to open would get the slots
+# that a trainer's earlier step needs: the earlier step ends sooner, but takes
+# longer to read from the store.
 OLDER_BATCH_WAIT_S = 0.3
 
 _LOG = logs.get_logger(__name__)
@@ -312,7 +313,7 @@
         )
 
     async def _take_over(self, batch_id):
-        """Take over a batch at this entry's turn, while it is orphaned."""
+        """Take over an orphaned batch when it is this entry's turn."""
         try:
             owner = self._owners.claims_by_id[batch_id].owner
             rank = self._rank(
--- a/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
+++ b/packages/gateway/anvilwell_gateway/batches/notice_subscribers.py
@@ -38,7 +38,10 @@
         self._vms_by_service = {}
 
     def find(self, service):
-        """Return the VMs that need notices of `service`, or of any if None."""
+        """Return the VMs that need notices of `service`.
+
+        If it is None, return those that need notices of any service.
+        """
         now = self._clock()
         if now - self._refreshed_at >= REFRESH_INTERVAL_S:
             self._refreshed_at = now
--- a/packages/gateway/anvilwell_gateway/batches/reader.py
+++ b/packages/gateway/anvilwell_gateway/batches/reader.py
@@ -3,7 +3,8 @@
 import collections
 import typing
 
-# Batches that are cached; the least recently read one is evicted first.
+# Number of batches that are cached; the least recently read one is evicted
+# first.
 MAX_CACHED = 4
 
 
--- a/packages/gateway/anvilwell_gateway/batches/records.py
+++ b/packages/gateway/anvilwell_gateway/batches/records.py
@@ -23,10 +23,10 @@
 # The store accepts values of up to 1 MB; the difference leaves space for the
 # encoding.
 MAX_VALUE_BYTES = 700 << 10
-# Most parts of a submission: they are written in one conditional write
-# together with the owner's key.
+# Largest number of parts of a submission. They are written together with the
+# owner's key in one conditional write.
 MAX_PARTS = 30
-# How long to go on with a write whose response was lost, in seconds.
+# How long a write whose response was lost is repeated, in seconds.
 COMMIT_TIMEOUT_S = 20.0
 
 
@@ -260,7 +260,7 @@
         """Record for all processes that the trainer ended the batch."""
         key = f"{cluster_state.ENDED_PREFIX}{batch_id}"
         swap = keyvalue.Swap(key, 0, b"1")
-        # An earlier call may have written the key; that is fine, too.
+        # An earlier call may have written the key, which has the same effect.
         await stores.swap_until_known(self._store, [swap], timeout_s)
 
     async def remove(self, batch_id, parts, chunks):
--- a/packages/gateway/anvilwell_gateway/batches/retention.py
+++ b/packages/gateway/anvilwell_gateway/batches/retention.py
@@ -11,8 +11,9 @@
 # stay readable for 120 s after the submission; the rest allows for differing
 # clocks and reads in progress.
 ENDED_RETENTION_S = 180.0
-# The same for a batch of which all results are listed but which has not been
-# ended. Its trainer may still read it, or may be gone for good.
+# How long a batch is kept if all its results are listed but its trainer has
+# not ended it, in seconds. The trainer may still read it, or may be gone for
+# good.
 OPEN_RETENTION_S = 3600.0
 CHECK_INTERVAL_S = 20.0
 
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -106,7 +106,7 @@
         self._timer.cancel()
 
     def _replicas_changed(self, changed):
-        """Schedule at once if replicas came or went, soon after a notice."""
+        """Schedule at once if replicas came or left, else with a delay."""
         self._changed_ids |= changed.replica_ids
         if changed.is_membership:
             self.schedule()
@@ -114,7 +114,7 @@
             self._timer.schedule_within(NOTICE_DELAY_S)
 
     def schedule(self):
-        """Run a pass now: start and move whatever items can be."""
+        """Run a pass now: start and move all items that can start or move."""
         self._timer.cancel()
         loop = asyncio.get_running_loop()
         started_at = loop.time()
--- a/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scoring_scheduler.py
@@ -13,8 +13,8 @@
 from anvilwell_kernel.telemetry import logs
 from anvilwell_kernel import verdict as verdicts
 
-# Interval between passes while texts wait for a scoring call, in seconds. They
-# wait for the pause after a refusal or for a missing route.
+# Interval between passes while texts wait for a scoring call, in seconds. A
+# text waits during the pause after a refusal, or while its route is missing.
 PASS_INTERVAL_S = 0.1
 
 _LOG = logs.get_logger(__name__)
--- a/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
@@ -92,7 +92,7 @@
         return service_slots is not None and bool(service_slots.lenders)
 
     def request_slots(self, service):
-        """Request slots from the other homes and report those in use."""
+        """Request slots from other homes; report which of theirs are used."""
         if not self.is_split(service):
             return
         now = asyncio.get_running_loop().time()
@@ -182,7 +182,7 @@
         await responder.send(200, (), cbor2.dumps(counts_by_replica))
 
     def gauge_values(self):
-        """Return how many slots are lent and borrowed, if any is split."""
+        """Return gauges of lent and borrowed slots if any service is split."""
         now = asyncio.get_running_loop().time()
         split = [one for one in self._slots_by_service.values() if one.lenders]
         if not split:
--- a/packages/gateway/anvilwell_gateway/duties/duty_election.py
+++ b/packages/gateway/anvilwell_gateway/duties/duty_election.py
@@ -1,13 +1,12 @@
 """Elects one entry at a time as the holder of a duty.
 
-Each holder has a fencing number, which rises with every election. The
-holder's key has the lease of the entry's live key. So it needs no renewal
-of its own, and an entry that counts as dead has lost its duties as well.
-
-The platform need not check fencing numbers. Therefore a holder acts only
-while its lease is certain to hold, by a clock that also advances during
-suspension. A new holder waits until the previous one can have no call
-under way.
+Each holder has a fencing number, which rises with every election. The holder's
+key is attached to the lease of the entry's live key. So it needs no renewal of
+its own, and an entry that counts as dead has lost its duties as well.
+
+The platform may not check fencing numbers. Therefore a holder acts only while
+its lease is certain to hold, by a clock that also advances during suspension.
+A new holder waits until the previous one can have no call under way.
 """
 
 import asyncio
@@ -66,7 +65,7 @@
 
     @property
     def is_over(self):
-        """Whether the session has another lease by now."""
+        """Whether the session now has another lease than this tenure."""
         return self._session.lease != self._leadership_tenure.lease
 
     def check(self):
@@ -98,7 +97,7 @@
     presence : presence.Presence
         The registration of this process, with its lease.
     cluster_state : cluster_state.ClusterState
-        The live entries; it also passes changes of the holder's key on.
+        The live entries; it also passes on changes of the holder's key.
     handover_gap_s : float
         Least time between the acts of successive holders, in seconds.
     """
@@ -116,7 +115,7 @@
         self._is_vacant = False
         self._task = None
         self._holder = None
-        # The fencing number of the last holder that this process saw.
+        # The fencing number of the last holder that this process observed.
         self._last_fencing = 0
         self.tenure = None
         cluster_state.delegate_prefix(self._keys.prefix, self)
@@ -220,11 +219,11 @@
         )
 
     def _may_act_at(self, fencing):
-        """Return the time from which the holder with a number may act.
+        """Return the time from which the holder with `fencing` may act.
 
-        The gap starts when this process saw that the previous holder was
-        gone, as that one did not act after its lease ended. If this process
-        did not see the previous holder, the gap starts now.
+        The gap starts when this process detected that the previous holder was
+        gone, as that holder did not act after its lease ended. If this process
+        did not observe the previous holder, the gap starts now.
         """
         now = self._clock()
         if fencing == 1:
--- a/packages/gateway/anvilwell_gateway/duties/usage_accounting.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_accounting.py
@@ -66,7 +66,7 @@
 
 
 class ReportedUsageAccounting(UsageAccounting):
-    """Counts usage, notifies the holder, and reports as the holder."""
+    """Counts requests; sends the counts to the holder or reports as holder."""
 
     def __init__(self, duty, reporter, notifier):
         self._duty = duty
--- a/packages/gateway/anvilwell_gateway/duties/usage_notifier.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_notifier.py
@@ -1,8 +1,9 @@
-"""Counts the requests of this process and notifies the duty's holder.
+"""Counts this process's requests and sends the counts for usage reports.
 
-Counts are sent from process to process, so they cause no calls to the
-store. Each notification holds the full counts of all windows that can still
-be reported. So it can be repeated, to the same holder or the next one.
+Counts are sent directly to the entry that holds the duty to report usage, so
+they cause no calls to the store. Each notification holds the full counts of
+all windows that can still be reported. So it can be repeated, to the same
+holder or the next one.
 """
 
 import asyncio
@@ -22,8 +23,9 @@
 TARGET = "/usage"
 # Seconds between checks whether a notification is due.
 POLL_INTERVAL_S = 0.25
-# Longest time in seconds until the holder is notified of a request. Requests
-# of which a killed process had not notified it are missing in the report.
+# Longest time in seconds until the holder is notified of a request. If a
+# process is killed, the requests of which it had not notified the holder are
+# missing in the report.
 NOTIFY_INTERVAL_S = 1.0
 # Seconds after a window's end when its counts are sent as complete. Most
 # requests that began in the window have a response or a first event by then.
@@ -58,7 +60,7 @@
         The addresses of other entries.
     duty : duty_election.Duty
         The duty to report usage, with its holder.
-    hear : callable
+    accept_counts : callable
         Called with the counts if this process is the holder; returns true
         time.
     settings : config.UsageSection
--- a/packages/gateway/anvilwell_gateway/http/client.py
+++ b/packages/gateway/anvilwell_gateway/http/client.py
@@ -21,13 +21,13 @@
 # within a few round trips. TCP resends a lost SYN only after a second, so
 # waiting longer seldom helps.
 CONNECT_TIMEOUT_S = 0.5
-# How long before the peer would close an idle connection it is discarded
-# here, in seconds.
+# Idle connections are discarded this long before the peer would close them, in
+# seconds.
 KEEP_ALIVE_MARGIN_S = 1.0
 # How long peers keep an idle connection if they send no Keep-Alive header,
 # in seconds.
 DEFAULT_KEEP_ALIVE_S = 4.0
-# Limit of the idle connections that are kept for one peer.
+# Limit on the number of idle connections that are kept for one peer.
 MAX_IDLE_PER_PEER = 32
 # Socket options by which a connection fails after three seconds without a
 # reply to TCP keepalive probes. Otherwise a watch on a broken path would
@@ -37,7 +37,8 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
-    # In milliseconds; the same limit for sent data that is not acknowledged.
+    # Limit in milliseconds for sent data that is not acknowledged: also three
+    # seconds.
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 3000),
 )
 
@@ -110,7 +111,8 @@
 
     def send(self, method, target, headers, body=b""):
         """Write a whole request without waiting until it is sent."""
-        # An empty body needs a length too, except for methods without one.
+        # An empty body needs a Content-Length too, except for methods that
+        # have no body.
         length = ("Content-Length", str(len(body)))
         headers = messages.without(headers, {"content-length"})
         if body or method not in ("GET", "HEAD", "DELETE"):
@@ -180,7 +182,8 @@
         now : float
             The current time, in seconds.
         default_keep_alive_s : float
-            How long the peer keeps an idle connection if it does not say.
+            How long the peer keeps an idle connection if it sends no
+            Keep-Alive header, in seconds.
         """
         conn = self._conn
         is_done = conn.our_state is h11.DONE and conn.their_state is h11.DONE
--- a/packages/gateway/anvilwell_gateway/http/listening.py
+++ b/packages/gateway/anvilwell_gateway/http/listening.py
@@ -1,9 +1,9 @@
 """Opens listening sockets before the rest of the program is loaded.
 
 Loading takes about 0.45 s on an entry's VM. Callers that connect meanwhile
-wait in the backlog of the listening socket. Without one their connections
-are reset, and most of their retries as well. To be fast itself, this module
-imports little, and only from the standard library.
+wait in the backlog of the listening socket. Without a listening socket their
+connections are reset, and most of their retries as well. To be fast itself,
+this module imports little, and only from the standard library.
 """
 
 import configparser
--- a/packages/gateway/anvilwell_gateway/http/server.py
+++ b/packages/gateway/anvilwell_gateway/http/server.py
@@ -178,7 +178,7 @@
 
     async def _accept(self, reader, writer):
         if self.is_finishing:
-            # Nothing of a request was read, so none is lost.
+            # No part of a request was read, so no request is lost.
             writer.close()
             return
         connection = _Connection(self, self._handle, reader, writer)
