--- a/packages/decisions/anvilwell_decisions/batches/batch_state.py
+++ b/packages/decisions/anvilwell_decisions/batches/batch_state.py
@@ -83,7 +83,7 @@
             self._restore_progress(progresses.Progress.from_saved(one))
 
     def _restore_progress(self, progress):
-        """Use an earlier text of a waiting item if the bounds allow it."""
+        """Use the saved text of a waiting item if its versions are allowed."""
         state = self._states_by_id.get(progress.item_id)
         if state is not ItemState.WAITING or not progress.is_usable(
             self.submission.min_version, self._one_version
@@ -178,7 +178,7 @@
         )
 
     def mark_scored(self, item_id, seal):
-        """Record the seal of the scorer's response; the item is done."""
+        """Record the seal (proof) of the scorer's response; mark it done."""
         if self._states_by_id[item_id] is not ItemState.SCORING:
             return
         call = self.items_by_id[item_id].scoring_call
@@ -187,7 +187,7 @@
         self._states_by_id[item_id] = ItemState.DONE
 
     def count_failure(self, item_id):
-        """Count a failed run; abandon the item after too many."""
+        """Count a failed run; abandon the item at `max_failures` of these."""
         progress = self.progress_by_id[item_id]
         progress.failures += 1
         if progress.failures >= self._max_failures:
--- a/packages/decisions/anvilwell_decisions/batches/dispatch.py
+++ b/packages/decisions/anvilwell_decisions/batches/dispatch.py
@@ -15,22 +15,24 @@
 # Pause in seconds before another item is sent to a replica that refused one.
 # Engines that load weights refuse for about a second.
 REFUSED_PAUSE_S = 0.15
-# Pause in seconds after a run broke off. The run is resumed at another replica
-# if possible; one bad response in fifty is no reason to avoid a replica for
-# longer.
+# Pause in seconds before another item is sent to a replica at which a run
+# broke off. The run is resumed at another replica if possible. The pause is
+# short because a replica that fails one response in fifty is still worth
+# using.
 BROKEN_PAUSE_S = 0.1
-# Pause in seconds for a replica that can't be reached or stopped responding.
+# Pause in seconds before another item is sent to a replica that can't be
+# reached or has stopped responding.
 SILENT_PAUSE_S = 1.0
 # Expected times are compared in steps of a sixth of the shortest one and count
 # as equal within a step. Replicas of one service differ by about a third, slow
 # ones by a factor of three.
 PACE_STEPS = 6
-# Number of replicas, the best by expected time and load, whose memory is
-# compared for an item.
+# Number of replicas whose memory use is compared for an item: those with the
+# shortest expected time and, among equals, the lowest load.
 MEMORY_CANDIDATES = 8
-# An item waits for a busy replica only if that completes its text at least
-# this many seconds earlier than a free one, because the time at which a slot
-# frees up is an estimate.
+# An item waits for a busy replica only if its text is expected to be complete
+# there at least this many seconds earlier than at a free replica. The margin
+# is needed because the time at which a slot becomes free is an estimate.
 MIN_WAIT_GAIN_S = 0.2
 
 
@@ -94,7 +96,7 @@
         return self._workers_by_id.get(replica_id)
 
     def set_replicas(self, replicas):
-        """Replace the set of usable replicas; state of known ones is kept."""
+        """Set the usable replicas; those set before keep their state."""
         known = self._workers_by_id
         self._workers_by_id = {
             replica.replica_id: self._updated_worker(
@@ -176,7 +178,7 @@
             heapq.heapify(worker.run_ends_s)
 
     def choose_moves(self, runs, now):
-        """Return the `moves.Move`s to make now; all ``runs`` may move."""
+        """Return the `moves.Move`s to make now, chosen among `runs`."""
         return self.move_selector.choose(runs, self._workers_by_id, now)
 
     def record_assignment(self, item, replica_id):
@@ -196,7 +198,7 @@
         return memory.memory_demand(one.prompt, tokens, events_made, left)
 
     def choose_replica(self, item, now):
-        """Return the id of the replica for a `WaitingItem`, or None for now.
+        """Return the replica's id for a `WaitingItem`, None to let it wait.
 
         Callers pass the longest items first, so that these get the fast
         replicas and short items get the rest. A long item may be made to wait
--- a/packages/decisions/anvilwell_decisions/batches/item_order.py
+++ b/packages/decisions/anvilwell_decisions/batches/item_order.py
@@ -3,8 +3,8 @@
 Batches go in the order in which they were submitted. After an outage this
 alone would make a trainer's later step wait for an earlier one that will be
 late in any case. So new items of steps that can still be in time go before new
-items of late steps. Items that already have some text keep their turn: they
-need a slot for a shorter time, and their step ends with them.
+items of late steps. Items that already have some text are not put back: they
+need a slot for a shorter time, and their step can't end before they do.
 """
 
 import math
--- a/packages/decisions/anvilwell_decisions/batches/lengths.py
+++ b/packages/decisions/anvilwell_decisions/batches/lengths.py
@@ -4,10 +4,11 @@
 import collections
 import itertools
 
-# Number of lengths remembered for each kind of items.
+# Number of text lengths that are remembered for each kind of items.
 MAX_LENGTHS = 512
-# If fewer recorded lengths exceed what a run has made so far, the run is
-# expected to make as much again, since lengths have a long tail.
+# An estimate needs at least this many remembered texts that are longer than
+# the text of the run. With fewer, the run is expected to make as many events
+# again as it has made so far, since lengths have a long tail.
 MIN_LENGTHS = 8
 
 
@@ -16,8 +17,8 @@
 
     The caller's estimate of the length, if there is one, is used as a scale:
     lengths are stored as multiples of it. The spread of these multiples shows
-    how reliable the estimates are, for instance right at the median but far
-    off elsewhere.
+    how reliable the estimates are: their median may be right while single
+    estimates are far off.
     """
 
     def __init__(self):
@@ -46,8 +47,8 @@
     def tokens_per_event(self, kind):
         """Return the number of tokens of one event, 0.0 if unknown.
 
-        It follows from the callers' estimates, which are in tokens and right
-        at the median.
+        It is derived from the callers' estimates, which are in tokens and
+        whose median is right.
         """
         lengths, _ = self._tails((kind, True))
         if len(lengths) < MIN_LENGTHS:
@@ -55,7 +56,7 @@
         return 1.0 / lengths[len(lengths) // 2]
 
     def _tails(self, key):
-        """Return the sorted lengths and the sums of the n longest ones."""
+        """Return the sorted lengths, and by n the sum of the n longest."""
         if key not in self._tails_by_key:
             lengths = sorted(self._lengths_by_key.get(key, ()))
             sums = list(itertools.accumulate(reversed(lengths), initial=0.0))
--- a/packages/decisions/anvilwell_decisions/batches/loading.py
+++ b/packages/decisions/anvilwell_decisions/batches/loading.py
@@ -3,31 +3,34 @@
 import math
 import typing
 
-# Largest share of a model's engines that load at the same time, one wave after
-# the other. An engine that loads takes no new work for that model, and loads
-# get slower if more than two fifths of the engines load at once.
+# Largest share of a model's engines that load a version at the same time; the
+# engines load in waves of this size. An engine that loads takes no new work
+# for that model, and loads get slower if more than two fifths of the engines
+# load at once.
 MAX_LOADING_SHARE = 0.4
-# Time between two waves, in seconds; a load takes 0.9 s.
+# Time between two waves of engines that load, in seconds; a load takes 0.9 s.
 LOAD_WAVE_S = 1.0
-# Delay before the first load, in seconds. Trainers submit a step as they name
-# its version. Its items may start on the previous version, and continue while
-# the weights are loaded; an engine that loaded at once would keep them waiting
-# for a second.
+# Delay in seconds before the first engines load a new version. A trainer names
+# the version of a step when it submits the step's items. These may start on
+# the previous version and continue while the weights are loaded; an engine
+# that loaded at once would keep them waiting for a second.
 FIRST_LOAD_DELAY_S = 0.3
-# Engines take turns only if there are at least this many for each version of a
-# period. With fewer, those that load at the same moment leave too few for the
-# first items of a step.
+# Engines take turns at loading only if there are at least this many engines
+# for each version of a period, the number of versions in which each engine
+# loads once. With fewer, too few engines would be left for the first items of
+# a step while the others load.
 MIN_ENGINES_PER_VERSION = 2
-# Each model is loaded by at least this many engines: enough must be left when
-# some are lost, and two must be able to take turns with two. An engine loads
-# as few models as this allows because it carries out one order at a time: if
-# all of nineteen engines load four models that get a version every four
-# seconds, each loads almost half of the time, and the first item of a step may
-# wait two seconds for that.
+# Each model is loaded by at least this many engines. Enough engines must be
+# left when some are lost, and there must be two engines for each of two
+# versions so that the engines can take turns at loading. An engine loads as
+# few models as this minimum allows because it carries out one order at a time:
+# if each of nineteen engines loads four models that get a new version every
+# four seconds, it spends almost half of its time on loads, and the first item
+# of a step may wait two seconds for them.
 MIN_ENGINES_PER_MODEL = 4
 # Each engine loads at least this many models. Trainers need unequal shares of
-# the engines; with one model an engine, trainers with more items would have
-# too few engines.
+# the engines; if each engine loaded one model only, trainers with more items
+# would have too few engines.
 MIN_MODELS_PER_ENGINE = 2
 
 
@@ -73,7 +76,7 @@
 
 
 def _assigned_engines(model, models, engines):
-    """Return the engines that load a model's versions; all if they are few."""
+    """Return the engines for a model's versions; all if there are few."""
     if model not in models:
         return engines
     needed = math.ceil(len(models) * MIN_ENGINES_PER_MODEL / len(engines))
@@ -87,7 +90,7 @@
 
 
 def load_delay_s(current, wanted, lag, position):
-    """Return how long the engine waits before it loads, None to skip.
+    """Return the delay before the engine loads a version, None to skip it.
 
     An engine that was loaded for one step also serves the ``lag`` steps after
     it. So each engine loads only every ``lag + 1`` versions and the engines
--- a/packages/decisions/anvilwell_decisions/batches/memory.py
+++ b/packages/decisions/anvilwell_decisions/batches/memory.py
@@ -8,13 +8,14 @@
 # request and reads its prompt again, which delays it; and half of all lengths
 # exceed the expected one.
 MAX_PEAK_SHARE = 0.95
-# Memory counts as nearly full from this share on. A run takes about three
-# hundredths of an engine's memory between two checks of all runs.
+# Share of an engine's memory above which the memory counts as nearly full. The
+# margin is needed because a run takes about three hundredths of an engine's
+# memory between two checks of all runs.
 NEARLY_FULL_SHARE = 0.9
 
 
 class MemoryDemand(typing.NamedTuple):
-    """Memory that a run holds now and that its text is still to take.
+    """Memory that a run holds now, and that the rest of its text will take.
 
     All numbers are in tokens. ``shared`` tokens of the prompt are common to
     all runs with the same ``shared_id``. They are held once for all of these,
@@ -76,7 +77,7 @@
         return 0 < NEARLY_FULL_SHARE * self._total < held
 
     def has_shared_prompt(self, shared_id):
-        """Return whether a run here holds this shared part of a prompt."""
+        """Return whether a run at this engine holds a shared prompt part."""
         return shared_id in self._shared_by_id
 
     def peak_share(self, demand):
--- a/packages/decisions/anvilwell_decisions/batches/move_selection.py
+++ b/packages/decisions/anvilwell_decisions/batches/move_selection.py
@@ -6,13 +6,13 @@
 from anvilwell_decisions.batches import moves
 from anvilwell_decisions.batches import workers
 
-# Number of replicas with a free slot, the fastest ones, that are compared for
-# a run; the gain from comparing more isn't worth the time.
+# Number of replicas with a free slot that are compared for a run: the fastest
+# ones. The gain from comparing more replicas isn't worth the time.
 MAX_TARGETS = 8
 
 
 class MoveSelector:
-    """Chooses among the runs of the batches that one entry owns.
+    """Chooses which runs of the batches that one entry owns are moved.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
 
 
 class _Selection:
-    """One selection among all runs; it counts the slots that it gives away."""
+    """One selection of moves; it counts the slots that these will take."""
 
     def __init__(self, lengths, budget, workers_by_id, now):
         self._lengths = lengths
--- a/packages/decisions/anvilwell_decisions/batches/moves.py
+++ b/packages/decisions/anvilwell_decisions/batches/moves.py
@@ -11,16 +11,17 @@
 # for each earlier move of the item: estimates that were wrong once are trusted
 # less.
 MIN_GAIN_S = 0.2
-# Staying has to take at least this many times as long as moving, since the
-# paces of replicas differ a little with their load.
+# A run is moved only if the rest of it would take more than this many times as
+# long at its present replica as at the other one, since the paces of replicas
+# differ a little with their load.
 MIN_TIME_RATIO = 1.1
-# Moves allowed for each run that starts. Callers pay for the slots and the
-# prompts of all repeated runs.
+# Number of moves that each started run adds to the budget. It is small because
+# callers pay for the slots and the prompts of all repeated runs.
 MOVES_PER_RUN = 0.06
-# Upper limit of the budget, enough for the runs of half a dozen replicas that
-# become slow at once.
+# Upper limit of the budget, in moves. It is enough for the runs of half a
+# dozen replicas that become slow at once.
 MAX_SAVED_MOVES = 48.0
-# Budget of a new owner of batches.
+# Budget with which a new owner of batches starts, in moves.
 INITIAL_SAVED_MOVES = 24.0
 # Largest number of moved, incomplete items that are remembered. Items of ended
 # batches never become complete, so the oldest are dropped.
@@ -59,7 +60,8 @@
         Expected time for the rest of the run at its present replica, in
         seconds.
     go_s : float
-        The same at the other replica, without the cost of the move.
+        Expected time for the rest of the run at the other replica, in
+        seconds, without the cost of the move.
     earlier_moves : int
         How often the item has been moved before.
     min_gain_s : float
@@ -71,7 +73,7 @@
 
 
 class MoveBudget:
-    """Limits the number of moves.
+    """Limits the number of moves in proportion to the runs that start.
 
     Parameters
     ----------
@@ -98,7 +100,7 @@
         self._saved = min(MAX_SAVED_MOVES, self._saved + self._moves_per_run)
 
     def spend(self, moves):
-        """Take moves that are made off the budget."""
+        """Subtract a number of moves from the budget."""
         self._saved -= moves
 
 
@@ -137,7 +139,7 @@
         self._moves_by_item = collections.OrderedDict()
 
     def record(self, move, now):
-        """Record that a `Move` is made."""
+        """Record a `Move` of an item's run."""
         run = move.run
         key = (run.batch_id, run.item_id)
         known = self._moves_by_item.pop(key, None)
--- a/packages/decisions/anvilwell_decisions/batches/paces.py
+++ b/packages/decisions/anvilwell_decisions/batches/paces.py
@@ -11,30 +11,32 @@
 # all runs at once, as when weights are loaded, makes only a few long gaps and
 # doesn't affect the median.
 RECENT_GAPS = 16
-# Number of gaps from which on a pace counts as known.
+# Least number of measured gaps from which a replica's pace is computed.
 MIN_GAPS = 8
-# The current pace is computed once in this many gaps, since that takes a
-# while.
+# The current pace is computed again after this many new gaps and not after
+# each one, since the computation takes a while.
 GAPS_PER_CHECK = 4
-# The usual pace is the median of this many gaps outside of slowdowns.
+# The usual pace is the median of this many gaps measured outside of slowdowns.
 USUAL_GAPS = 256
 # A slowdown begins above `SLOW_RATIO` times the usual pace and ends below
 # `RECOVERED_RATIO` times it.
 SLOW_RATIO = 1.6
 RECOVERED_RATIO = 1.3
-# Upper limit for the slowdown that a replica reports of itself; larger values
-# are cut to it.
+# Upper limit for the contention that a replica reports, as a multiple of its
+# usual time per event; larger values are reduced to this limit.
 MAX_CONTENTION = 10.0
-# Number of durations remembered for the replicas of a service.
+# Number of past slowdowns of a service whose durations are remembered.
 MAX_SLOWDOWNS = 256
-# If fewer recorded durations exceed a slowdown's age, it is expected to last
-# for as long again as it has lasted.
+# An estimate needs at least this many remembered slowdowns that lasted longer
+# than the present one has lasted so far. With fewer, the present one is
+# expected to last for as long again.
 MIN_SLOWDOWNS = 4
-# Least expected rest of a slowdown, in seconds. Little more is known of one
-# that has just begun than that it outlasted the gaps that revealed it.
+# Least time that a slowdown is expected to last from now on, in seconds. All
+# that is known of a slowdown that has just begun is that it lasted longer than
+# the gaps between events by which it was detected.
 MIN_SLOWDOWN_S = 0.1
-# When the runs of a replica have made no event for this long, in seconds,
-# their expected ends are not used any more.
+# When the runs of a replica have made no event for this many seconds, the
+# times at which they were expected to end are not used any more.
 SILENT_S = 0.3
 # A usual pace that was not confirmed for this long, in seconds, is dropped,
 # since the pace may have changed by now.
@@ -54,7 +56,7 @@
         self._sorted = sorted(self._lengths)
 
     def remaining_s(self, age_s):
-        """Return how much longer a slowdown of this age should last."""
+        """Return how much longer a slowdown of age `age_s` should last."""
         first = bisect.bisect_right(self._sorted, age_s)
         longer = self._sorted[first:]
         if len(longer) < MIN_SLOWDOWNS:
@@ -124,11 +126,11 @@
         self._slowdown = None
 
     def record_load(self, load, now):
-        """Process an `server_loads.ServerLoad` reported by the replica.
+        """Process a `server_loads.ServerLoad` reported by the replica.
 
-        Contention only marks the beginning of a slowdown before the events
-        show it. Whether it is one, and for how long, is decided by the gaps
-        between the events.
+        A slowdown is assumed to begin as soon as the replica reports strong
+        contention, before the gaps between events show it. Later gaps decide
+        whether there is a slowdown, and for how long.
         """
         ratio = load.contention or server_loads.NO_CONTENTION
         usual_s = self.usual_s(now)
@@ -156,7 +158,7 @@
         )
 
     def expected_s(self, events, now):
-        """Return the time that so many events will take, None if unknown."""
+        """Return the time that `events` events will take, None if unknown."""
         usual_s = self.usual_s(now)
         if usual_s is None:
             return None
@@ -177,8 +179,8 @@
             if pace_s > SLOW_RATIO * usual_s:
                 self._begin_slowdown(pace_s, now)
             elif pace_s * SLOW_RATIO < usual_s:
-                # A replica can't be faster than at its usual pace, so that
-                # was measured during a slowdown; measure it again.
+                # A replica can't be faster than its usual pace. So the usual
+                # pace was measured during a slowdown; measure it again.
                 self._usual_gaps.clear()
                 self._usual_gaps.extend(gap.gap_s for gap in self._recent)
                 self._usual_s = None
@@ -191,7 +193,7 @@
             )
 
     def _begin_slowdown(self, pace_s, now):
-        """Begin a slowdown; remove its first gaps from the usual ones."""
+        """Begin a slowdown; its first gaps no longer count as usual ones."""
         slow = len(self._recent) // 2 + 1
         for _ in range(min(slow, len(self._usual_gaps) - MIN_GAPS)):
             self._usual_gaps.pop()
--- a/packages/decisions/anvilwell_decisions/batches/progress.py
+++ b/packages/decisions/anvilwell_decisions/batches/progress.py
@@ -12,7 +12,7 @@
 
 
 class Score(typing.NamedTuple):
-    """The seal of the response to a scoring call, and the id of the call."""
+    """The seal (proof) of a scorer's response, and the id of the call."""
 
     call_id: str
     seal: str
@@ -84,7 +84,7 @@
         self.is_complete = True
 
     def is_usable(self, min_version, one_version):
-        """Return whether the text's versions satisfy these bounds."""
+        """Return whether the text's model versions are allowed."""
         is_fresh = all(version >= min_version for version in self.versions)
         return is_fresh and not (one_version and len(self.versions) > 1)
 
--- a/packages/decisions/anvilwell_decisions/batches/scoring.py
+++ b/packages/decisions/anvilwell_decisions/batches/scoring.py
@@ -3,19 +3,22 @@
 import collections
 
 # Share of a service's slots that the scoring calls of one entry may use. Texts
-# are completed in bursts of about fifty; live calls to the same service have
-# priority and find the other half free.
+# are completed in bursts of about fifty, which then need scores. The other
+# half stays free for live calls to the same service, which have priority.
 SLOTS_SHARE = 0.5
-# Slots assumed for services that don't state any: those of one small replica.
+# Number of slots assumed for a service that doesn't state its slots: as many
+# as one small replica has.
 DEFAULT_SLOTS = 6
 # After a refusal the limit of concurrent calls is multiplied by
 # `REFUSED_SHARE`, and no call starts for `REFUSED_PAUSE_S` seconds. A full
 # replica frees a slot about every 15 ms.
 REFUSED_SHARE = 0.5
 REFUSED_PAUSE_S = 0.1
-# The delay after a failed round doubles each time, up to this many seconds.
+# Longest delay before an item without a score is scored again, in seconds. The
+# delay doubles with each failed round of scoring calls for the item.
 MAX_RETRY_DELAY_S = 1.0
-# Number of call durations remembered, about those of one step.
+# Number of scoring calls whose durations are remembered, about as many as one
+# training step has.
 MAX_TIMES = 64
 # The timeout of a call is this many times the slowest duration remembered, so
 # that only lost calls reach it, and at least `MIN_TARGET_LATENCIES` times the
@@ -70,5 +73,5 @@
 
 
 def retry_delay_s(rounds):
-    """Return how long an item waits after so many rounds without a score."""
+    """Return how long an item waits after `rounds` rounds without a score."""
     return min(MAX_RETRY_DELAY_S, REFUSED_PAUSE_S * 2 ** (rounds - 1))
--- a/packages/decisions/anvilwell_decisions/batches/shortlists.py
+++ b/packages/decisions/anvilwell_decisions/batches/shortlists.py
@@ -10,7 +10,8 @@
 import itertools
 import random
 
-# Number of replicas drawn. All replicas of smaller services are compared.
+# Number of replicas drawn for a shortlist. If fewer replicas of a service can
+# run an item, all of these are compared.
 SHORTLIST_SIZE = 32
 
 
--- a/packages/decisions/anvilwell_decisions/batches/slots.py
+++ b/packages/decisions/anvilwell_decisions/batches/slots.py
@@ -3,10 +3,10 @@
 A service whose batches exceed the capacity of one VM has several homes, each
 for some of its models. If every home used all slots, replicas would be
 filled several times over. So every replica is assigned to one home, its owner;
-all that know the same homes compute the same owner. A home whose own slots are
-taken borrows slots from a home without waiting items. Loans are short: the
-borrower repeatedly reports which slots it uses, and the lender may use all
-others again.
+all VMs with the same list of homes compute the same owner. A home whose own
+slots are taken borrows slots from a home without waiting items. Loans are
+short: the borrower repeatedly reports which borrowed slots it uses, and the
+lender may use the others again.
 """
 
 import collections
@@ -19,11 +19,11 @@
 ITEMS_PER_CORE = 1000
 # An entry runs on one thread, so more cores don't help.
 MAX_CORES = 1.0
-# Items that a link can carry for each Mbit/s: each text comes from a replica,
-# is written to the store and is read by its trainer.
+# Number of items whose texts a VM's link can carry for each Mbit/s. Each text
+# is received from a replica, written to the store and sent to its trainer.
 ITEMS_PER_MBPS = 12
-# A loan ends when its borrower hasn't reported for this long, in seconds. It
-# outlasts four lost requests.
+# A loan of slots ends when its borrower hasn't reported for this many seconds.
+# It outlasts four lost requests.
 LOAN_S = 1.0
 # Largest share of its own slots that a home lends, so that a batch that is
 # submitted to it can start at once on the rest.
@@ -62,10 +62,10 @@
 
 
 class SlotRequest(typing.NamedTuple):
-    """What a borrower requests of a lender for one service.
+    """A borrower's request to a lender for slots of one service.
 
-    ``using_by_replica`` is the number of the lender's slots that it uses,
-    ``wanted`` how many more it could use.
+    ``using_by_replica`` is the number of the lender's slots that the borrower
+    uses now, ``wanted`` the number of further slots that it could use.
     """
 
     service: str
@@ -99,7 +99,7 @@
 
     @property
     def lenders(self):
-        """The other homes, () if there is only one home."""
+        """The homes that may lend slots, () if there is only one home."""
         if len(self._homes) < 2:
             return ()
         return tuple(home for home in self._homes if home != self._vm_id)
@@ -126,9 +126,9 @@
     def limit(self, replica_id, slots, now):
         """Return how many of a replica's slots may be used.
 
-        All slots may be used if this VM is the only home or isn't a home. In
-        the latter case it was a home before, or could not reach the home of
-        the items that it runs.
+        All slots may be used if this VM is the only home or isn't a home. A VM
+        that isn't a home runs items only if it was a home before, or could not
+        reach the home of these items.
         """
         if len(self._homes) < 2 or self._vm_id not in self._homes:
             return slots
@@ -148,7 +148,7 @@
         )
 
     def lend(self, request, slots, free_slots_by_replica, now):
-        """Return the slots that are lent from now on, as counts by replica.
+        """Return the number of slots lent to a borrower now, by replica.
 
         Parameters
         ----------
@@ -175,7 +175,8 @@
             free_slots_by_replica.items(), key=lambda pair: -pair[1]
         )
         for replica_id, free_slots in by_free_slots:
-            # Slots of the loan that ends here don't count as free yet.
+            # The slots of the borrower's earlier loan don't count as free in
+            # `free_slots`. Add those that it doesn't use any more.
             count = max(
                 0, min(free_slots + freed_by_replica[replica_id], available)
             )
@@ -189,18 +190,18 @@
         return counts_by_replica
 
     def lent_count(self, now):
-        """Return the number of slots that are lent."""
+        """Return the number of this home's slots that are lent."""
         return _slot_count(self._lent_by_borrower.values(), now)
 
     def borrowed_count(self, now):
-        """Return the number of slots that are borrowed."""
+        """Return the number of slots that are borrowed from other homes."""
         return _slot_count(self._borrowed_by_lender.values(), now)
 
     def record_request(self, lender, using_by_replica, now):
-        """Record that a request is sent to a lender.
+        """Record that a `SlotRequest` is sent to a lender.
 
-        Until it answers, only the slots that the request reports as used may
-        be used.
+        Until the lender answers, this home may use only the lender's slots
+        that the request reports as used.
         """
         self._borrowed_by_lender[lender] = _Loan(
             dict(using_by_replica), now + LOAN_S
--- a/packages/decisions/anvilwell_decisions/batches/workers.py
+++ b/packages/decisions/anvilwell_decisions/batches/workers.py
@@ -10,7 +10,7 @@
     def __init__(self, replica, slowdowns):
         self.replica = replica
         self.running = 0
-        # Number of slots that may be used here; None for all.
+        # Number of the replica's slots that may be used; None for all.
         self.limit = None
         self.clear_runs({})
         self.not_before = 0.0
@@ -19,10 +19,10 @@
         self.update_versions(replica.versions)
 
     def clear_runs(self, tokens_by_service):
-        """Clear the memory demand and the expected ends of the runs here."""
+        """Clear the memory demand and the expected ends of all runs."""
         total = tokens_by_service.get(self.replica.service, 0)
         self.memory = memory.EngineMemory(total)
-        # Seconds until each of this entry's runs is expected to end, a heap.
+        # Heap of the times until this entry's runs should end, in seconds.
         self.run_ends_s = []
 
     @property
@@ -42,7 +42,7 @@
 
     @property
     def free_slots(self):
-        """Number of items that would start at once."""
+        """Number of further items that this replica could start now."""
         slots = max(1, self.replica.slots)
         return (slots if self.limit is None else self.limit) - self.running
 
@@ -53,7 +53,7 @@
             self._version_by_model[model] = max(known, version)
 
     def may_have_version(self, model, min_version):
-        """Return whether the version of `model` here may be new enough.
+        """Return whether this replica's version of `model` may be new enough.
 
         It is False only if the version is known to be too old.
         """
@@ -61,7 +61,7 @@
         return not known or known >= min_version
 
     def accepts(self, model, min_version):
-        """Return whether a new item for `model` would start here."""
+        """Return whether this replica would start a new item for `model`."""
         is_loading = model in self.replica.loading
         return not is_loading and self.may_have_version(model, min_version)
 
--- a/packages/decisions/anvilwell_decisions/duties/notice_recipients.py
+++ b/packages/decisions/anvilwell_decisions/duties/notice_recipients.py
@@ -1,26 +1,27 @@
 """Decides which entries an agent notifies of its engine's versions and loads.
 
 Of many entries only a few run batches for the engine and need the notices.
-Every entry can derive these from the owners of the batches, and names them in
-its response to a notice.
+Every entry can determine which ones need them from the owners of the batches,
+and names these in its response to a notice.
 """
 
-# Up to this many entries are all notified, without asking who needs it.
+# If there are at most this many live entries, all are notified, without asking
+# which of them need the notice.
 MAX_DIRECT = 8
-# Number of entries that are asked who needs a notice, one after the other,
-# until one answers.
+# Largest number of entries that are asked which entries need a notice. They
+# are asked one after the other until one answers.
 MAX_ASKED = 3
 
 
 class NoticeRecipients:
-    """Remembers which entries need an agent's notices, as named by entries."""
+    """Remembers which entries need an agent's notices, as responses state."""
 
     def __init__(self):
         self._ranked = ()
         self._named = frozenset()
 
     def set_entries(self, ranked):
-        """Set the live entries, in the order in which to ask them."""
+        """Set the live entries, in the order in which they are asked."""
         self._ranked = tuple(ranked)
 
     def begin(self):
@@ -29,12 +30,12 @@
 
     @property
     def ranked(self):
-        """The live entries, in the order in which to ask them."""
+        """The live entries, in the order in which they are asked."""
         return self._ranked
 
     @property
     def named(self):
-        """The live entries that need notices, as far as known."""
+        """The live entries that the newest responses named as recipients."""
         return self._named.intersection(self._ranked)
 
     def update(self, named):
@@ -45,9 +46,9 @@
 class NoticeDelivery:
     """The delivery of one notice to the entries that need it.
 
-    The notice goes at once to the entries that needed the last one, and to one
-    more entry that is asked who needs it now. Entries that a response names in
-    addition are notified then.
+    The notice is sent at once to the entries that needed the previous one, and
+    to one more entry, which is asked which entries need notices now. If a
+    response names further entries, the notice is sent to these too.
 
     Parameters
     ----------
@@ -71,7 +72,7 @@
         return self._send_to([*self._recipients.named, *self._next_to_ask()])
 
     def answered(self, vm_id, named):
-        """Process a response by `vm_id`; return further VMs to notify."""
+        """Process the response of a VM; return further VMs to notify."""
         self._pending.discard(vm_id)
         self._is_answered = True
         self._named.update(named)
@@ -79,7 +80,7 @@
         return self._send_to(self._recipients.named)
 
     def failed(self, vm_id):
-        """Process a failure at `vm_id`; return the VMs to notify instead."""
+        """Process a failed delivery to a VM; return VMs to notify instead."""
         self._pending.discard(vm_id)
         if self._is_answered or self._pending:
             return []
--- a/packages/decisions/anvilwell_decisions/duties/rendezvous.py
+++ b/packages/decisions/anvilwell_decisions/duties/rendezvous.py
@@ -1,7 +1,8 @@
 """Assigns duties to VMs by rendezvous hashing.
 
-All that know the same VMs compute the same assignment. When a VM leaves, only
-its own duties move to others, and several duties are spread over the VMs.
+All processes with the same list of VMs compute the same assignment. When a VM
+leaves, only its own duties move to other VMs. Several duties are spread over
+the VMs.
 """
 
 import xxhash
--- a/packages/decisions/anvilwell_decisions/duties/usage.py
+++ b/packages/decisions/anvilwell_decisions/duties/usage.py
@@ -5,9 +5,9 @@
 import statistics
 import typing
 
-# Requests are counted by slices of the local clock, in seconds, and assigned
-# to windows once true time is known. The bounds of a window are as exact as a
-# slice.
+# Length of the slices of local time by which requests are counted, in seconds.
+# The slices are assigned to usage windows once true time is known, so the
+# bounds of a window are exact to one slice.
 SLICE_S = 0.01
 
 
@@ -19,7 +19,7 @@
 
 
 class ProcessCounts(typing.NamedTuple):
-    """The counts that a process sends to the holder of the duty.
+    """The request counts that a process sends to the VM with the usage duty.
 
     ``number`` increases with each message. The message covers all windows from
     ``since`` to ``through``, in seconds of true time; a window that is not in
@@ -44,11 +44,11 @@
 
 
 class Ledger(typing.NamedTuple):
-    """What every holder of the duty has to know, as kept in the store.
+    """The state of the usage duty, kept in the store for every holder.
 
-    Windows up to ``last`` are settled. Those in ``reports`` may be sent again
-    without any change, others never. ``told`` holds the counts that a holder
-    had collected when it stopped.
+    Windows up to ``last`` are settled. The reports in ``reports`` may be sent
+    again, without any change; other settled windows are never sent again.
+    ``told`` holds the counts that a holder had collected when it stopped.
     """
 
     last: int = 0
@@ -110,7 +110,7 @@
             self.counts_by_incarnation[received.life] = received
 
     def forget(self, before):
-        """Drop counts that end before true time `before`."""
+        """Drop request counts that end before true time `before`."""
         self.counts_by_incarnation = {
             incarnation: received
             for incarnation, received in self.counts_by_incarnation.items()
@@ -120,8 +120,9 @@
     def is_known(self, window):
         """Return whether some process counted during the whole window.
 
-        After a loss of all VMs none did. How many requests began before the
-        loss is unknown then, and is not estimated.
+        If all VMs were lost during the window, no process did. The number of
+        requests that began before the loss is then unknown, and is not
+        estimated.
         """
         start, end = self.bounds(window)
         return any(
@@ -149,7 +150,7 @@
 
 
 def add_report(ledger, report, max_reports):
-    """Return `ledger` with `report` added; it keeps the last `max_reports`.
+    """Return `ledger` with `report` added and the last `max_reports` kept.
 
     Counts that an earlier holder had collected are dropped once all of their
     windows are settled.
@@ -179,7 +180,7 @@
         self._offsets_by_vm[vm_id] = (wall_time - now, now)
 
     def forget(self, before):
-        """Drop readings from before local time `before`."""
+        """Drop clock readings from before local time `before`."""
         self._offsets_by_vm = {
             vm_id: reading
             for vm_id, reading in self._offsets_by_vm.items()
@@ -187,7 +188,7 @@
         }
 
     def is_known(self, live_vms):
-        """Return whether most VMs were read, given the number of live ones."""
+        """Return whether the clocks of most of `live_vms` VMs were read."""
         return 2 * len(self._offsets_by_vm) > live_vms
 
     @property
--- a/packages/decisions/anvilwell_decisions/leases/fencing.py
+++ b/packages/decisions/anvilwell_decisions/leases/fencing.py
@@ -7,31 +7,31 @@
 
 
 class FencingGate:
-    """Rejects orders whose fencing number is lower than the highest one.
+    """Rejects orders whose fencing number is lower than the highest issued.
 
-    After a start no order passes until the highest number given is known,
-    since the agent may have seen a higher one before it crashed. The number is
-    read from the counter in the key-value service. While that is down, no
-    other source will do, since others may have missed the latest takeover; so
-    the agent waits.
+    After the agent starts, no order passes until the highest number issued is
+    known, since the agent may have seen a higher one before it crashed. The
+    number is read from the counter in the key-value service. While that is
+    down, the agent waits: any other source may have missed the latest
+    takeover.
     """
 
     def __init__(self):
         self.highest = None
 
     def raise_to(self, number):
-        """Record a number that was read from the counter."""
+        """Record the fencing number that was read from the counter."""
         self.highest = max(number, self.highest or 0)
 
     def admit(self, number):
-        """Let an order with `number` pass.
+        """Let an order with fencing number `number` pass.
 
         Raises
         ------
         exceptions.Refused
             If the highest number is not known yet; the order may be retried.
         exceptions.Fenced
-            If a higher number has been given.
+            If a higher number has been issued.
         """
         if self.highest is None:
             raise exceptions.Refused(
--- a/packages/decisions/anvilwell_decisions/leases/leadership.py
+++ b/packages/decisions/anvilwell_decisions/leases/leadership.py
@@ -12,7 +12,7 @@
 
 
 class Holder(typing.NamedTuple):
-    """The value of the key that names the holder."""
+    """The value of the key that names the holder of a leadership."""
 
     vm_id: str
     fencing: int
@@ -62,7 +62,7 @@
 
 
 def read_fencing(entries_by_key, name):
-    """Return the highest number given so far, 0 if there is none."""
+    """Return the highest fencing number issued so far, 0 if none was."""
     entry = entries_by_key.get(keys(name).fencing)
     return int(entry.value) if entry else 0
 
@@ -71,13 +71,13 @@
     """One candidate's decisions about one leadership.
 
     Each takeover raises the counter by the same conditional write that creates
-    the holder's key. So no number is given twice, even if the store drops a
+    the holder's key. So no number is issued twice, even if the store drops a
     lease too early. The counter's key has no lease.
 
     Parameters
     ----------
     name : str
-        For example ``rollout/planner-lm``.
+        Name of the leadership, for example ``rollout/planner-lm``.
     vm_id : str
         The candidate.
     prefix : str, optional
@@ -91,7 +91,7 @@
         self._min_number = 0
 
     def standing(self, entries_by_key, lease):
-        """Return the `Standing` that a read shows, under our `lease`."""
+        """Return our `Standing` under `lease`, given the keys as read."""
         entry = entries_by_key.get(self._keys.holder)
         if entry is None:
             return Standing.FREE
@@ -114,7 +114,7 @@
         ]
 
     def read_tenure(self, entries_by_key, lease):
-        """Return our `Tenure` as a read shows it.
+        """Return our `Tenure`, given the keys that were read.
 
         This resolves a takeover whose response was lost.
         """
@@ -137,7 +137,7 @@
 
 
 def check_tenure(tenure, session, now):
-    """Check that one external action is allowed at `now`.
+    """Check that a tenure allows an external action at `now`.
 
     It has to be called right before each action.
 
--- a/packages/decisions/anvilwell_decisions/outages/paths.py
+++ b/packages/decisions/anvilwell_decisions/outages/paths.py
@@ -2,12 +2,12 @@
 
 # The path that uses no peer.
 DIRECT = ""
-# Failures in a row after which the direct path is left; one lost response is
-# no outage. Two take 1.1 s of renewals, so that the lease of 3.5 s has a
-# second left for the path through a peer.
+# Number of consecutive failures after which the direct path is left; one lost
+# response is no outage. Two failed renewals of the lease take 1.1 s, so that
+# the lease of 3.5 s has a second left for the path through a peer.
 FAILURES_TO_SWITCH = 2
-# A peer that failed is not used for this long, in seconds: about the time to
-# try two others, so that each is tried before this one again.
+# A peer that failed is not used for this many seconds. That is about the time
+# to try two other peers, so that these are tried before the first one again.
 PEER_PAUSE_S = 1.0
 # Once every peer has failed too, the outage affects all VMs, and the direct
 # path is kept for this long, in seconds. Without this a VM would try ten paths
@@ -16,7 +16,7 @@
 
 
 class PathSelector:
-    """Leaves a failing path, and returns to the direct one once it works.
+    """Replaces a failing path; returns to the direct one once that works.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
         self.current = DIRECT
 
     def set_peers(self, vm_ids):
-        """Set the VMs that may relay; return whether the path changed."""
+        """Set the peers that may relay; return whether the path changed."""
         self._peers = frozenset(vm_ids)
         if self.current in self._peers | {DIRECT}:
             return False
--- a/packages/decisions/anvilwell_decisions/requests/admission.py
+++ b/packages/decisions/anvilwell_decisions/requests/admission.py
@@ -11,7 +11,8 @@
 
 # Weight of the newest request in the moving averages of latency.
 _SMOOTHING = 0.1
-# Bursts of live requests that the headroom absorbs, in standard deviations.
+# Size of the bursts of live requests for which training requests leave slots
+# free, in standard deviations of the number of live requests in flight.
 _BURST_DEVIATIONS = 2.0
 _MIN_RETRY_AFTER_S = 0.1
 
@@ -134,7 +135,7 @@
         return Queue(ticket.ticket_id, len(queue) - 1)
 
     def finished(self, ticket_id, now, latency_s, work=0.0):
-        """Record that an admitted request completed; return actions.
+        """Record a completed request; return the resulting actions.
 
         Parameters
         ----------
@@ -181,7 +182,7 @@
             self._limit.record_saturation(running)
 
     def cancel(self, ticket_id, now):
-        """Remove a queued or admitted ticket; return actions."""
+        """Remove a queued or admitted ticket; return the resulting actions."""
         for queue in self._queued_by_priority.values():
             if queue.pop(ticket_id, None):
                 return self._admit_queued(now)
--- a/packages/decisions/anvilwell_decisions/requests/byte_budget.py
+++ b/packages/decisions/anvilwell_decisions/requests/byte_budget.py
@@ -3,8 +3,8 @@
 # Share of a VM's memory that buffers may use. The processes and their own
 # data need the rest.
 MEMORY_SHARE = 0.2
-# A page may use at most this share of the free bytes, so that pages remain
-# available to other callers that read slowly.
+# One page of a batch's results may use at most this share of the free bytes,
+# so that pages remain available to other callers that read slowly.
 PAGE_SHARE = 0.125
 # Budget of a VM whose memory size is unknown.
 DEFAULT_BYTES = 32 << 20
@@ -54,5 +54,5 @@
         self.held_bytes -= byte_count
 
     def page_bytes(self, max_bytes):
-        """Return the size limit of a page of up to `max_bytes`."""
+        """Return the size limit of a page of results, up to `max_bytes`."""
         return min(max_bytes, int(PAGE_SHARE * self.free_bytes))
--- a/packages/decisions/anvilwell_decisions/requests/claims.py
+++ b/packages/decisions/anvilwell_decisions/requests/claims.py
@@ -4,7 +4,8 @@
 key-value service with a conditional write that succeeds only if the key has
 no record yet. A claim is never taken over: only the request whose claim id
 is recorded is ever forwarded. An entry has one write in progress at a time;
-swaps that accumulate meanwhile are sent together in the next one.
+the changes of keys that become due meanwhile are sent together in the next
+write.
 """
 
 import itertools
@@ -15,8 +16,9 @@
 from anvilwell_kernel import verdict as verdicts
 
 MAX_SWAPS_PER_WRITE = 100
-# Void claims that are remembered, so that they are deleted if their write
-# is applied late. The oldest are dropped.
+# Largest number of void claims that are remembered; the oldest are dropped. A
+# claim is void if its request was not run. It is remembered so that it can be
+# deleted if its write is applied late.
 _MAX_VOID_CLAIMS = 10000
 
 
@@ -46,7 +48,10 @@
 
 
 class Write(typing.NamedTuple):
-    """Write all `swaps` or none; pass the result to `ClaimTracker.written`."""
+    """An action: write all `swaps` or none.
+
+    The entry passes the result to `ClaimTracker.written`.
+    """
 
     write_id: int
     swaps: tuple
--- a/packages/decisions/anvilwell_decisions/requests/expected_latency.py
+++ b/packages/decisions/anvilwell_decisions/requests/expected_latency.py
@@ -8,8 +8,8 @@
 # replicas, all would choose the same one until its next response reports
 # the higher load.
 CANDIDATES = 16
-# Some replicas slow down as their slots fill: a call at a full replica is
-# expected to take longer than a call alone by this share.
+# Some replicas slow down as their slots fill: a call at a replica without free
+# slots is expected to take longer by this share than a call that runs alone.
 CONCURRENCY_PENALTY = 0.25
 
 
@@ -56,7 +56,7 @@
             super().report(report, now)
             return
         self._is_contention_reported = True
-        # The request of this response counts as in flight until it ends.
+        # The attempt that got this response counts as in flight until it ends.
         own = max(report.own, self._loads.own(replica_id))
         super().report(report._replace(own=own), now)
         if report.in_flight > report.limit:
@@ -124,9 +124,9 @@
     def _load_factor(self, replica_id, now):
         """Return the factor by which load lengthens one more call.
 
-        A call beside others takes up to `CONCURRENCY_PENALTY` longer. Calls
-        that exceed the slots wait for whole or partial rounds of the calls
-        before them.
+        A call that runs beside others takes longer by a share of up to
+        `CONCURRENCY_PENALTY`. A call that finds no free slot also waits for
+        the calls before it, counted in rounds of as many calls as slots.
         """
         in_flight = self._loads.estimate(replica_id)
         slots = self._server_loads.slots(replica_id) or 1
--- a/packages/decisions/anvilwell_decisions/requests/grants.py
+++ b/packages/decisions/anvilwell_decisions/requests/grants.py
@@ -8,11 +8,11 @@
 import heapq
 import typing
 
-# The bucket holds the requests of this many seconds.
+# The token bucket of an entry holds its rate for this many seconds.
 BURST_S = 1.0
-# How long a request waits while its entry has no grant.
+# How long a request waits while its entry has no valid grant, in seconds.
 NO_GRANT_WAIT_S = 1.0
-# Smallest demand that counts for an entry, as a share of the team's limit.
+# The demand of an entry counts as at least this share of its team's limit.
 _MIN_SHARE = 0.02
 
 
@@ -33,7 +33,7 @@
 
 
 class Demand(typing.NamedTuple):
-    """The rate at which an entry receives requests, per second.
+    """The rate at which an entry receives a team's requests, per second.
 
     ``term`` and ``number`` identify the grant that the entry uses; both are 0
     if it has none.
@@ -124,7 +124,8 @@
         """Return the `Grant` for a `Demand`."""
         self._expire_shares(now)
         account = self._account(demand.entry_id)
-        # Numbers of another issuer do not refer to grants of this one.
+        # The number of a grant by another issuer must not be compared with
+        # the numbers of this issuer's grants.
         number = demand.number if demand.term == self._term else 0
         self._drop_unused_shares(account, now, number)
         min_per_s = self._limit_per_s * _MIN_SHARE
@@ -146,7 +147,7 @@
         )
 
     def _fair_rate_per_s(self, account):
-        """Return the proportional share, limited to what is surely free."""
+        """Return the rate in proportion to demand, within what is free."""
         free_per_s = self._limit_per_s - (
             self._held_per_s - account.held_per_s
         )
@@ -171,7 +172,7 @@
         self._held_per_s += account.held_per_s - before_per_s
 
     def _expire_shares(self, now):
-        """Reclaim expired shares; drop entries that sent no demand since."""
+        """Drop expired grants, and entries that have no other grant."""
         while self._expiries and self._expiries[0][0] <= now:
             _, entry_id = heapq.heappop(self._expiries)
             account = self._accounts_by_entry.get(entry_id)
@@ -199,7 +200,7 @@
         self._request_count = 0
 
     def demand(self, window_s):
-        """Return the `Demand` for the requests since the previous one."""
+        """Return the `Demand` for the requests since the previous demand."""
         rate_per_s = self._request_count / window_s
         self._request_count = 0
         used = self._grant
@@ -210,7 +211,10 @@
         )
 
     def granted(self, grant, demanded_at):
-        """Use a newer grant; `demanded_at` is when its demand was sent."""
+        """Use `grant` for the team's rate if it is newer than the present one.
+
+        ``demanded_at`` is when the `Demand` that it answers was sent.
+        """
         old = self._grant
         if old and (grant.term, grant.number) <= (old.term, old.number):
             return
@@ -218,7 +222,7 @@
         self._until = demanded_at + grant.ttl_s
 
     def rate_per_s(self, now):
-        """Return the current rate, in requests per second."""
+        """Return the rate allowed by the grant now, in requests per second."""
         return self._grant.rate_per_s if now < self._until else 0.0
 
     def try_acquire(self, now):
--- a/packages/decisions/anvilwell_decisions/requests/limits.py
+++ b/packages/decisions/anvilwell_decisions/requests/limits.py
@@ -3,8 +3,9 @@
 import typing
 
 
-# Growth of the cap with each window in which the limit grows, as a saturated
-# server may have more capacity later.
+# A saturated server caps the concurrency limit. The cap rises by this much
+# with each window in which the limit may grow, as the server may have more
+# capacity later.
 _CEILING_STEP = 0.25
 
 
--- a/packages/decisions/anvilwell_decisions/requests/loads.py
+++ b/packages/decisions/anvilwell_decisions/requests/loads.py
@@ -1,4 +1,4 @@
-"""Load estimates from own requests and delayed reports."""
+"""Estimates the load of replicas from own requests and delayed reports."""
 
 
 class Loads:
--- a/packages/decisions/anvilwell_decisions/requests/priority_weights.py
+++ b/packages/decisions/anvilwell_decisions/requests/priority_weights.py
@@ -3,8 +3,8 @@
 # While capacity is scarce, each rank below the highest one gets this share of
 # what the rank above it gets.
 WEIGHT_STEP = 0.5
-# Smallest weight, relative to the highest rank. Every caller is promised at
-# least a quarter of the average service.
+# Smallest weight of a priority, relative to the highest rank. Every caller is
+# promised at least a quarter of the average service.
 MIN_WEIGHT = 0.25
 MAX_WEIGHT = 1.0
 
--- a/packages/decisions/anvilwell_decisions/requests/quarantine.py
+++ b/packages/decisions/anvilwell_decisions/requests/quarantine.py
@@ -10,16 +10,18 @@
 import collections
 import typing
 
-# How long a cut response is matched with a crash of its replica. A cut does
-# not prove a crash: the replica may be running. Without an earlier sign, a
-# crash shows when the registration expires after three missed heartbeats,
-# about four seconds.
+# How long a cut response is matched with a crash of its replica, in seconds. A
+# cut does not prove a crash: the replica may be running. If nothing reveals a
+# crash earlier, it is detected when the replica's registration expires after
+# three missed heartbeats, about four seconds.
 CUT_TTL_S = 6.0
-# Pause after `SUSPECT_CRASHES`. It covers the caller's own retries, so that
-# they do not crash a third replica, and is short for an innocent request
-# that was running at two crashes.
+# How long a request is held back after `SUSPECT_CRASHES` crashes, in seconds.
+# The pause covers the caller's own retries, so that they do not crash a third
+# replica, and is short for an innocent request that was running at two
+# crashes.
 SHORT_PAUSE_S = 5.0
-# Pause after `PROVEN_CRASHES` or more, and how long crashes are remembered.
+# How long a request is held back after `PROVEN_CRASHES` or more crashes, and
+# how long crashes are remembered, in seconds.
 LONG_PAUSE_S = 600.0
 SUSPECT_CRASHES = 2
 PROVEN_CRASHES = 3
@@ -120,7 +122,7 @@
         return sorted(crashes, key=lambda one: -len(one.replica_ids))
 
     def clear(self, fingerprint):
-        """Drop the crashes of a request that got a complete response."""
+        """Drop the recorded crashes of a request that got a full response."""
         self._records_by_fingerprint.pop(fingerprint, None)
 
     def replica_ids(self, fingerprint):
--- a/packages/decisions/anvilwell_decisions/requests/records.py
+++ b/packages/decisions/anvilwell_decisions/requests/records.py
@@ -6,7 +6,7 @@
 
 # Records are spread over this many prefixes of the store's keys.
 SHARDS = 64
-# Larger response bodies are not stored with the outcome.
+# Response bodies of more bytes than this are not stored with the outcome.
 MAX_BODY_BYTES = 4096
 KEY_PREFIX = "anvilwell/claim"
 _SEPARATOR = b"\x00"
--- a/packages/decisions/anvilwell_decisions/requests/retries.py
+++ b/packages/decisions/anvilwell_decisions/requests/retries.py
@@ -70,7 +70,8 @@
     (verdicts.Verdict.RAN, False): False,
 }
 
-# Reasons that another attempt can't change.
+# Attempts that failed for one of these reasons are not retried, since another
+# attempt can't change the reason.
 _FINAL_REASONS = frozenset(
     {
         reasons.Refusal.BAD_REQUEST,
@@ -150,7 +151,7 @@
         has_response_started=False,
         priority=facts.Priority.LIVE,
     ):
-        """Spend a retry on a parallel attempt, if allowed; return whether."""
+        """Return whether to send a parallel attempt; if so, spend a retry."""
         budget = self._budgets_by_priority[priority]
         return idempotent and not has_response_started and budget.spend()
 
--- a/packages/decisions/anvilwell_decisions/requests/retry_after.py
+++ b/packages/decisions/anvilwell_decisions/requests/retry_after.py
@@ -2,14 +2,16 @@
 
 import math
 
-# Delay of the first refused caller, in seconds: several times the duration
-# of a call.
+# Shortest delay of a refused caller, in seconds. It is several times the
+# duration of a call.
 MIN_WAIT_S = 0.25
-# Half-life of answered calls in the measured answer rate, in seconds.
+# Time after which an answered call counts half in the measured rate of
+# answers, in seconds.
 HALF_LIFE_S = 1.0
 # Callers honour a delay of up to this share of the time that they have left.
 MAX_SHARE_OF_TIME_LEFT = 1 / 3
-# Longer delays are useless to callers that need an answer soon, in seconds.
+# Longest delay, in seconds. Longer ones are useless to callers that need an
+# answer soon.
 MAX_WAIT_S = 2.0
 
 
--- a/packages/decisions/anvilwell_decisions/requests/routing.py
+++ b/packages/decisions/anvilwell_decisions/requests/routing.py
@@ -9,7 +9,8 @@
 from anvilwell_decisions.requests import loads
 from anvilwell_decisions.requests import pool
 
-# Random draws that may hit excluded replicas before all are searched.
+# Number of random draws that may return excluded replicas before all replicas
+# are searched for one that isn't excluded.
 _MAX_DRAWS = 8
 # Smallest share of its full load that a new replica gets.
 _MIN_SLOW_START_SHARE = 0.1
@@ -44,7 +45,7 @@
         self._pool.add_replica(facts)
 
     def replica_down(self, replica_id, now):
-        """Send the replica no new requests; running ones continue."""
+        """Stop sending requests to a replica; running ones continue."""
         self._pool.remove_replica(replica_id)
         self._loads.forget(replica_id)
 
@@ -168,12 +169,12 @@
         super().replica_up(facts, now)
 
     def replica_down(self, replica_id, now):
-        """Send the replica no new requests."""
+        """Stop sending requests to a replica, and drop its slow start."""
         super().replica_down(replica_id, now)
         self._up_at_by_id.pop(replica_id, None)
 
     def choose(self, request, now):
-        """Return the less loaded of two draws."""
+        """Return the less loaded of two replicas drawn at random, or None."""
         first = self._draw(request)
         second = self._draw(request)
         if first == second:
@@ -197,7 +198,7 @@
 
 
 class PrefixAffinity(PowerOfTwo):
-    """Sends a prompt prefix to the same few replicas unless they are loaded.
+    """Sends a prompt prefix to the same few replicas, within a load bound.
 
     Prefixes and replicas are hashed to points on a ring. Of the next few
     replicas after the prefix, the first one whose load is within ``bound``
@@ -274,9 +275,10 @@
 
 
 class LeastOutstanding(Policy):
-    """Chooses the replica with the least load, own attempts included.
+    """Chooses the replica with the least estimated load.
 
-    It compares all replicas of a service, so it is meant for services with few
+    The load includes the attempts that this entry has in flight. The policy
+    compares all replicas of a service, so it is meant for services with few
     replicas, where it balances better than two draws. Ties are broken at
     random, so that entries do not all choose the same replica.
     """
--- a/packages/decisions/anvilwell_decisions/requests/server_loads.py
+++ b/packages/decisions/anvilwell_decisions/requests/server_loads.py
@@ -1,4 +1,4 @@
-"""The load that replicas report with their responses, and its lifetime."""
+"""The load that replicas report with responses, and how long it is valid."""
 
 import typing
 
@@ -7,7 +7,7 @@
 CONTENTION_TTL_S = 0.3
 # How long reported counts are valid; they change with each request.
 COUNTS_TTL_S = 2.0
-# The contention if work takes as long as usual.
+# The contention of a machine on which work takes as long as usual.
 NO_CONTENTION = 1.0
 
 
@@ -72,9 +72,9 @@
     def contention(self, replica_id, now):
         """Return how long work takes now, as a multiple of the usual time.
 
-        `NO_CONTENTION` if it was not reported or has expired. Values below it
-        are ignored: the speed of a replica is measured, not taken from its
-        reports.
+        The result is `NO_CONTENTION` if no contention was reported or the
+        report has expired. Reported values below `NO_CONTENTION` are ignored:
+        the speed of a replica is measured, not taken from its reports.
         """
         timed = self._loads_by_id.get(replica_id)
         if timed is None or now - timed.at > CONTENTION_TTL_S:
--- a/packages/decisions/anvilwell_decisions/requests/service_times.py
+++ b/packages/decisions/anvilwell_decisions/requests/service_times.py
@@ -8,7 +8,7 @@
 # A baseline within this ratio of the median is treated as equal to it, as
 # differences of that size come from the requests.
 NEAR_MEDIAN_RATIO = 1.4
-# Responses after which a replica's baseline is used.
+# Number of responses from which on a replica's baseline is used.
 MIN_ANSWERS = 10
 # A replica is degraded once `DEGRADED_ANSWERS` responses in a row took more
 # than `DEGRADED_RATIO` times its baseline. A single slow response may just
@@ -80,7 +80,7 @@
             self._median_s = None
 
     def expected_s(self, replica_id, now):
-        """Return the seconds for one call, 1.0 without any measurement."""
+        """Return the expected duration of a call, 1.0 s if unmeasured."""
         known = self._times_by_id.get(replica_id)
         if known is None or not known.is_known:
             return self._median()
--- a/packages/decisions/anvilwell_decisions/requests/trials.py
+++ b/packages/decisions/anvilwell_decisions/requests/trials.py
@@ -1,8 +1,8 @@
 """Limits trials of a suspect request to one at a time.
 
-A request that may crash replicas is tried again after its pause, which ends
-at all entries and callers at the same time. Without this limit, each entry
-could crash one more replica before the others are notified.
+A request that may crash replicas is tried again after a pause, which ends for
+all entries and callers at the same time. Without this limit, each entry could
+crash one more replica before the other entries are notified.
 """
 
 import typing
--- a/packages/decisions/anvilwell_decisions/traffic/facts.py
+++ b/packages/decisions/anvilwell_decisions/traffic/facts.py
@@ -13,11 +13,12 @@
 class Route(typing.NamedTuple):
     """Where requests for one host and path prefix go.
 
-    ``is_batch`` routes take batches; ``is_idempotent`` requests may run more
-    than once. Responses of ``is_stream`` routes are events that are passed on
-    as they come; ``is_resumable`` ones may be continued by another replica.
-    ``max_replicas`` limits the replicas that one request may be sent to.
-    ``is_open`` routes need no organisation's key. Results of batches are due
+    ``is_batch`` says whether the route takes batches, ``is_idempotent``
+    whether its requests may run more than once. With ``is_stream`` the
+    responses are events that are passed on as they arrive; with
+    ``is_resumable`` a response may be continued by another replica.
+    ``max_replicas`` limits the replicas that one request may be sent to. With
+    ``is_open`` no organisation's key is needed. Results of batches are due
     ``due_s`` after their submission; 0 means no due time. Times are in
     seconds.
     """
@@ -41,10 +42,11 @@
 
 
 class ServiceFacts(typing.NamedTuple):
-    """A service; ``slots`` is how many requests one engine runs at a time.
+    """A service, with the capacity of each of its engines.
 
-    It is 0 if the service has no slots. ``memory_tokens`` is how many tokens
-    of prompts and texts one engine can hold, 0 if unknown.
+    ``slots`` is how many requests one engine runs at a time, 0 if the service
+    has no slots. ``memory_tokens`` is how many tokens of prompts and texts one
+    engine can hold, 0 if unknown.
     """
 
     name: str
@@ -92,10 +94,11 @@
 class Replica(typing.NamedTuple):
     """One incarnation of a replica, as it registered itself.
 
-    ``replica_id`` identifies this incarnation: nothing known of it applies to
-    any other. The replica itself is identified by ``name``, which it may keep
-    when it starts again. It started at the Unix time ``started_ms``, in
-    milliseconds, 0 if it doesn't state it.
+    ``replica_id`` identifies this incarnation; what is recorded about it does
+    not apply to other incarnations. The replica itself is identified by
+    ``name``, which it may keep when it starts again. ``started_ms`` is the
+    Unix time at which it started, in milliseconds, 0 if it doesn't report
+    this.
 
     ``versions`` holds the weight version of each of its models; ``loading``
     names the models that it is loading and takes no new items for.
--- a/packages/decisions/anvilwell_decisions/traffic/organisations.py
+++ b/packages/decisions/anvilwell_decisions/traffic/organisations.py
@@ -1,4 +1,4 @@
-"""Identifies the organisation that sends a request, and separates batches."""
+"""Identifies a request's organisation; keeps organisations' batches apart."""
 
 import hashlib
 
@@ -46,8 +46,8 @@
         Raises
         ------
         exceptions.UnknownKey
-            If a key is needed and the request doesn't carry exactly one, known
-            key.
+            If a key is needed, unless the request carries exactly one key and
+            an organisation has this key.
         """
         if not self.are_known:
             return None
@@ -91,7 +91,7 @@
 
 
 def owned(submission, organisation):
-    """Return a `facts.Submission` as the batch of an organisation."""
+    """Return a `facts.Submission` with its organisation and stored id."""
     return submission._replace(
         batch_id=owned_id(organisation, submission.batch_id),
         organisation=organisation,
