--- a/packages/decisions/anvilwell_decisions/capacity/roles/bad_days.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/bad_days.py
@@ -24,12 +24,12 @@
 
 
 def _spread_s(lost, lines):
-    """Return the seconds until all daemons know that `lost` VMs are dead."""
+    """Return the seconds until `lost` losses have spread everywhere."""
     return lines["membership.loss.time"].at(lost)
 
 
 def rack_s(fleet, lines):
-    """Return the seconds until all daemons know of a lost rack."""
+    """Return the seconds until the loss of a rack has spread everywhere."""
     return _spread_s(
         min(assumptions.RACK_VMS, domain_vms(fleet, lines)), lines
     )
@@ -41,7 +41,7 @@
 
 
 def domain_s(fleet, lines):
-    """Return the seconds until all daemons know of a lost domain."""
+    """Return the seconds until the loss of a domain has spread everywhere."""
     return _spread_s(domain_vms(fleet, lines), lines)
 
 
--- a/packages/decisions/anvilwell_decisions/capacity/roles/control.py
+++ b/packages/decisions/anvilwell_decisions/capacity/roles/control.py
@@ -67,7 +67,7 @@
 
 
 def detection_s(fleet, lines):
-    """Return the seconds until all daemons know that a VM leaves."""
+    """Return the seconds until all daemons have recorded a leaving VM."""
     hops = math.log2(max(fleet.daemons, 2)) / math.log2(_EDGES - 1)
     hop_s = lines["control.messages.cpu"].slope / _US + 0.1
     return 1.0 + math.ceil(hops) * hop_s
--- a/packages/decisions/anvilwell_decisions/configuration/limits.py
+++ b/packages/decisions/anvilwell_decisions/configuration/limits.py
@@ -2,7 +2,7 @@
 
 import typing
 
-# Accepted changes that a record keeps. They tell whether a change was accepted
+# Accepted changes that a record keeps. They show whether a change was accepted
 # when its proposer got no response or an operator sends it again.
 HISTORY_CHANGES = 32
 # Members of each failure domain that watch the records for changes.
@@ -17,7 +17,7 @@
     prepare_s : float
         Time for all listed instances to answer a prepare.
     propose_s : float
-        Time after which an operator is told that the outcome is unknown.
+        Time after which the operator gets the outcome UNKNOWN.
     retry_s : float
         Interval between repeated prepares, and between repeated reads.
     fence_s : float
--- a/packages/decisions/tests/configuration/configuration_world.py
+++ b/packages/decisions/tests/configuration/configuration_world.py
@@ -501,4 +501,4 @@
 
 
 def _ignore(result, never_sent=False):
-    """Discard the result of a call whose caller has given up waiting."""
+    """Discard the result of a call whose caller no longer waits."""
