--- a/packages/gateway/anvilwell_gateway/duties/duty_election.py
+++ b/packages/gateway/anvilwell_gateway/duties/duty_election.py
@@ -34,7 +34,7 @@
 _LOG = logs.get_logger(__name__)
 
 
-class Tenure:
+class DutyTenure:
     """The term during which this process holds a duty.
 
     Parameters
@@ -210,7 +210,7 @@
         _LOG.log(
             "duty-taken", duty=self._name, fencing=leadership_tenure.fencing
         )
-        self.tenure = Tenure(
+        self.tenure = DutyTenure(
             leadership_tenure,
             self._presence.vm_id,
             self._may_act_at(leadership_tenure.fencing),
--- a/packages/gateway/anvilwell_gateway/duties/usage_platform.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_platform.py
@@ -19,7 +19,7 @@
         report : usage.Report
             The window and its counts. A window that is reported again must
             have the same counts.
-        tenure : duty_election.Tenure
+        tenure : duty_election.DutyTenure
             The holder's tenure. It is checked after the connection is
             established, right before the call is written.
 
--- a/packages/gateway/anvilwell_gateway/duties/usage_reporter.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_reporter.py
@@ -92,7 +92,7 @@
         self._unsent = []
         self._task = None
 
-    def accept_counts(self, told):
+    def accept_counts(self, counts):
         """Add a `usage.ProcessCounts`; return true time, None if unknown.
 
         Raises
@@ -103,8 +103,8 @@
         is_holder = self._duty.holder == self._presence.vm_id
         if self._task is None or not is_holder:
             raise exceptions.Refused("this VM does not report usage")
-        self._true_time.record(told.vm_id, told.wall_time, self._clock())
-        self._collected.add(told)
+        self._true_time.record(counts.vm_id, counts.wall_time, self._clock())
+        self._collected.add(counts)
         return self._true_time_now() if self._is_time_known() else None
 
     def start(self):
@@ -125,9 +125,9 @@
                 cause = "the ledger was being read or written"
                 _LOG.log("usage-not-left", cause=cause)
             return
-        told = tuple(self._collected.counts_by_incarnation.values())
+        counts = tuple(self._collected.counts_by_incarnation.values())
         try:
-            await self._write(self._ledger._replace(told=told))
+            await self._write(self._ledger._replace(told=counts))
         except exceptions.AnvilwellError as error:
             _LOG.log("usage-not-left", cause=error.message)
 
@@ -187,8 +187,8 @@
         """Load the ledger that previous holders have written."""
         entry = await self._store.get(LEDGER_KEY)
         self._read_ledger(entry)
-        for told in self._ledger.told:
-            self._collected.add(told)
+        for counts in self._ledger.told:
+            self._collected.add(counts)
         self._unsent = list(self._ledger.reports)
         self._loaded_tenure = tenure
 
