--- a/packages/gateway/anvilwell_gateway/agent.py
+++ b/packages/gateway/anvilwell_gateway/agent.py
@@ -191,7 +191,7 @@
             self._load_all()
 
     def _load_all(self):
-        """Start a load for each model that may be behind."""
+        """Start a load for each model whose loaded version may be outdated."""
         self._load_each(self._versions.wanted_by_model)
 
     def _load_each(self, models):
@@ -202,7 +202,7 @@
                 self._load_tasks_by_model[model] = task
 
     async def _check_engine(self):
-        """Load again after the engine has lost a version.
+        """Load a version again after the engine has lost it.
 
         An order without an answer may be carried out seconds later. If the
         engine has restarted under the same id by then, and has taken as
--- a/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
@@ -17,7 +17,8 @@
 # Interval between two requests to one lender, in seconds. An item waits up to
 # this long for a slot that is free at another home.
 REQUEST_INTERVAL_S = 0.2
-# A lender answers from memory. If it takes longer, nothing is borrowed.
+# Limits of a request to a lender, which answers from memory. If it takes
+# longer, nothing is borrowed.
 CALL_LIMITS = peer_calls.CallLimits(timeout_s=0.3, max_bytes=1 << 20)
 
 _SLOT_REQUEST = pydantic.TypeAdapter(home_slots.SlotRequest)
--- a/packages/gateway/anvilwell_gateway/crash_notifier.py
+++ b/packages/gateway/anvilwell_gateway/crash_notifier.py
@@ -20,7 +20,8 @@
 from anvilwell_kernel.telemetry import logs
 
 TARGET = "/ends"
-# An entry answers within milliseconds; one that takes longer is unreachable.
+# Limits of a notification. An entry answers within milliseconds; one that
+# takes longer is unreachable.
 LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=4 << 10)
 # Delays between retries, in seconds. The last one repeats without a limit,
 # as an entry that is unreachable from here may still serve callers.
--- a/packages/gateway/anvilwell_gateway/crash_sync.py
+++ b/packages/gateway/anvilwell_gateway/crash_sync.py
@@ -20,9 +20,9 @@
 from anvilwell_kernel.telemetry import logs
 
 TARGET = "/ends/known"
-# Number of entries whose answer is enough. Every entry receives every crash,
-# so one would do; the second covers for one that was cut off or has just
-# started itself.
+# Number of entries whose answers are enough. Every entry receives every crash,
+# so one answer would do; the second makes up for an entry that was cut off or
+# has just started itself.
 ENTRIES_TO_ASK = 2
 LIMITS = peer_calls.CallLimits(timeout_s=0.5, max_bytes=1 << 20)
 # Limit on the number of requests in one answer; those with the most crashes
--- a/packages/gateway/anvilwell_gateway/duties/usage_accounting.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_accounting.py
@@ -26,7 +26,7 @@
 
     @abc.abstractmethod
     async def release_duty(self):
-        """Release the duty; continue to count and to notify its holder."""
+        """Release the duty to report; go on counting and sending counts."""
 
     @abc.abstractmethod
     async def stop(self):
@@ -103,7 +103,7 @@
         self._notifier.start()
 
     async def release_duty(self):
-        """Release the duty; continue to count and to notify its holder."""
+        """Release the duty to report; go on counting and sending counts."""
         await self._duty.stop()
         await self._reporter.stop()
 
--- a/packages/gateway/anvilwell_gateway/duties/usage_reporter.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_reporter.py
@@ -1,4 +1,4 @@
-"""Reports usage by window, as the holder of that duty.
+"""Reports usage by time window, as the holder of the duty to do so.
 
 A report is written to the ledger in the store before it is sent. The
 ledger is replaced only if it is still the one that the holder has read. So
@@ -26,9 +26,9 @@
 LEDGER_KEY = "anvilwell/usage/ledger"
 # Seconds between checks whether a report is due.
 POLL_INTERVAL_S = 0.25
-# Seconds after a window's end when it is reported if all counts are in.
-# Callers wait for about two seconds, and a request may be counted only when
-# its response arrives.
+# Seconds after a window's end when it is reported if all live processes have
+# sent their counts. Callers wait for about two seconds, and a request may be
+# counted only when its response arrives.
 REPORT_DELAY_S = 2.0
 # Seconds after a window's end when it is reported although some live
 # processes have not sent counts of the whole window; they may be cut off.
@@ -217,8 +217,8 @@
 
     def _is_due(self, window, now):
         _, end = self._collected.bounds(window)
-        lives = self._cluster_state.incarnations_by_vm.values()
-        is_whole = self._collected.is_complete(window, lives)
+        incarnations = self._cluster_state.incarnations_by_vm.values()
+        is_whole = self._collected.is_complete(window, incarnations)
         return now >= end + (
             REPORT_DELAY_S if is_whole else MAX_REPORT_DELAY_S
         )
--- a/packages/gateway/anvilwell_gateway/feeds.py
+++ b/packages/gateway/anvilwell_gateway/feeds.py
@@ -26,14 +26,14 @@
 MAX_CHANGES = 2000
 # How long a request waits for a change, in seconds. A neighbour that went
 # silent is noticed after this time plus a margin, so that changes still take
-# effect within the two seconds that they may take.
+# effect within their limit of two seconds.
 WAIT_S = 1.0
 # Interval at which a waiting request checks whether this entry is still in
 # contact with the store, in seconds.
 CONTACT_CHECK_S = 0.2
 
-# Status of the response, instead of 200, if the store does not answer this
-# entry.
+# HTTP status of the response, instead of 200, if the store does not answer
+# this entry.
 _OUT_OF_TOUCH = 503
 
 
--- a/packages/gateway/anvilwell_gateway/neighbours.py
+++ b/packages/gateway/anvilwell_gateway/neighbours.py
@@ -28,9 +28,9 @@
 # the store is asked meanwhile. If the neighbour is gone, its live key has
 # lapsed by the end of this time.
 BACKOFF_S = 5.0
-# How long a starting process waits for those that start with it to register,
-# in seconds. A watch that begins sooner would go to the store and cost one
-# more call.
+# How long a starting process waits for entries that start at the same time to
+# register, in seconds. A watch that begins sooner would go to the store and
+# cost one more call.
 SETTLE_S = 1.0
 # Longest wait of a starting process for the first list of entries, in seconds.
 FIRST_NEIGHBOUR_TIMEOUT_S = 3.0
--- a/packages/gateway/anvilwell_gateway/presence.py
+++ b/packages/gateway/anvilwell_gateway/presence.py
@@ -28,13 +28,14 @@
 # check that, and a read of the store by the requester itself, a change still
 # takes effect within two seconds.
 MAX_ANSWER_AGE_S = 1.2
-# An answer more recent than this is later than the last one of any entry that
-# can no longer confirm its cache, as all processes renew at the same interval.
+# If the store answered this process within this time, in seconds, that answer
+# is later than the last one of any entry that can no longer confirm its cache,
+# as all processes renew at the same interval.
 RECENT_ANSWER_S = MAX_ANSWER_AGE_S - RENEW_S
 
 _LOG = logs.get_logger(__name__)
-# After an outage of this length, the leases of running processes may have
-# lapsed.
+# After an outage of this length, in seconds, the leases of running processes
+# may have lapsed.
 LONG_OUTAGE_S = TTL_S - RENEW_S
 # After an outage, all processes are back in contact with the store within this
 # time of each other, in seconds. A call that hangs takes up to a second, and
--- a/packages/gateway/anvilwell_gateway/store.py
+++ b/packages/gateway/anvilwell_gateway/store.py
@@ -138,7 +138,8 @@
     async def swap(self, swaps):
         """Apply all `Swap`s and `Guard`s or none; return a `SwapResult`.
 
-        If they were not applied, ``entries_by_key`` holds the current entries.
+        If they were not applied, ``entries_by_key`` holds the current `Entry`
+        of each key.
 
         Raises
         ------
--- a/packages/gateway/anvilwell_gateway/timers.py
+++ b/packages/gateway/anvilwell_gateway/timers.py
@@ -36,7 +36,7 @@
         self._handle = loop.call_later(delay_s, self._fire)
 
     def schedule_within(self, delay_s):
-        """Call back after `delay_s` seconds, or sooner if so scheduled."""
+        """Call back in `delay_s` seconds, or earlier if scheduled earlier."""
         now = asyncio.get_running_loop().time()
         if self._handle is None or self._at > now + delay_s:
             self.schedule_in(delay_s)
--- a/packages/gateway/anvilwell_gateway/trials.py
+++ b/packages/gateway/anvilwell_gateway/trials.py
@@ -27,7 +27,8 @@
 TARGET = "/trials"
 # Number of entries that record the trial of a request.
 DECIDERS = 2
-# An entry answers within milliseconds, and the caller is waiting.
+# Limits of a request to a decider. An entry answers within milliseconds, and
+# the caller of the suspect request is waiting.
 LIMITS = peer_calls.CallLimits(timeout_s=0.2, max_bytes=4 << 10)
 
 
@@ -113,7 +114,7 @@
         return 0.0
 
     async def _end(self, fingerprint, trier, granted):
-        """Notify the deciders that granted a trial that it is over."""
+        """Notify the deciders which granted a trial of its end."""
         for decider in granted:
             await self._ask_decider(decider, fingerprint, trier, True)
 
@@ -125,7 +126,7 @@
         return vm_ids[:DECIDERS] or [self._vm_id]
 
     async def _ask_decider(self, decider, fingerprint, trier, is_over):
-        """Return the wait that one decider answers with, in seconds."""
+        """Send one decider a `TrialRequest`; return its wait, in seconds."""
         replica_ids = self._quarantine.replica_ids(fingerprint)
         request = TrialRequest(
             fingerprint, trier, is_over, tuple(sorted(replica_ids))
--- a/packages/gateway/anvilwell_gateway/version_loading.py
+++ b/packages/gateway/anvilwell_gateway/version_loading.py
@@ -1,4 +1,4 @@
-"""Has one engine load a version that a trainer has named."""
+"""Orders one engine to load a version that a trainer has named."""
 
 import asyncio
 
