--- a/packages/decisions/anvilwell_decisions/membership/__init__.py
+++ b/packages/decisions/anvilwell_decisions/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: neighbour graph, failure detection, spread of news."""
+"""Membership: neighbour graph, failure detection, spread of changes."""
--- a/packages/decisions/anvilwell_decisions/membership/detector.py
+++ b/packages/decisions/anvilwell_decisions/membership/detector.py
@@ -1,19 +1,22 @@
-"""Decides from the silence of a subject what to think of it."""
+"""Detects failed members by how long they leave heartbeats unacked."""
 
 import enum
 
 HEARTBEAT_PERIOD_S = 0.5
 ACK_TIMEOUT_S = 0.5
 PROBE_TIMEOUT_S = 0.5
+# A suspect is dead after this many further seconds of silence.
 SUSPICION_S = 0.75
 MAX_SLOWNESS = 3
+# This daemon is isolated if it has at least this many subjects, all late, and
+# has received no message at all for this many seconds.
 ISOLATED_SUBJECTS = 3
 ISOLATED_S = 1.0
 _KEPT_HEARTBEATS = 64
 
 
 class Finding(enum.IntEnum):
-    """How silent a subject is."""
+    """Result of evaluating how long a subject has been silent."""
 
     ANSWERS = 0
     LATE = 1
@@ -22,10 +25,11 @@
 
 
 class Subject:
-    """The heartbeats sent to one member and those it answered.
+    """Tracks the heartbeats sent to one member and their acks.
 
-    A delayed ack proves life only at the time its heartbeat left, so
-    silence counts from the first heartbeat after the last one acked.
+    A delayed ack only proves that the member was alive when the heartbeat
+    was sent. Silence therefore counts from the first heartbeat sent after
+    the last one that was acked.
     """
 
     def __init__(self, now):
@@ -34,14 +38,14 @@
         self._sent_at_by_number = {}
 
     def sent(self, number, now):
-        """Note that heartbeat `number` was sent."""
+        """Record that heartbeat `number` was sent."""
         self._sent_at_by_number[number] = now
         if len(self._sent_at_by_number) > _KEPT_HEARTBEATS:
             _, second, *_ = self._sent_at_by_number
             del self._sent_at_by_number[second]
 
     def acked(self, number):
-        """Note the ack of `number`; say whether it was awaited."""
+        """Record the ack of `number`; return whether it was outstanding."""
         if number not in self._sent_at_by_number:
             return False
         self._sent_at_by_number = {
@@ -50,24 +54,25 @@
         return True
 
     def confirm_alive(self, now):
-        """Note that another neighbour reached it by now."""
+        """Record that another neighbour has just reached the member."""
         self._sent_at_by_number = dict.fromkeys(self._sent_at_by_number, now)
 
     def reset_silence(self):
-        """Forget heartbeats not acked: the fault may be our own."""
+        """Drop outstanding heartbeats, as this daemon may be at fault."""
         self._sent_at_by_number = {}
 
     def silence_s(self, now):
-        """Return for how long it has owed an ack."""
+        """Return how long the oldest outstanding heartbeat has waited."""
         return now - min(self._sent_at_by_number.values(), default=now)
 
 
 class LocalHealth:
-    """Knows when this daemon itself is slow, paused or cut off.
+    """Detects when this daemon itself is slow, paused or isolated.
 
-    After a gap between ticks nothing is found until a neighbour has
-    answered since, or `RESYNC_LIMIT_S` passed. Late acks from several
-    subjects stretch all timeouts, up to `MAX_SLOWNESS` times.
+    After a gap between ticks, failure detection is suspended until a
+    neighbour has acked a heartbeat or `RESYNC_LIMIT_S` has passed. Late
+    acks from several subjects extend all timeouts, up to `MAX_SLOWNESS`
+    times.
     """
 
     GAP_S = 1.0
@@ -81,11 +86,11 @@
         self._last_message_at = None
 
     def message_received(self, now):
-        """Note any message from another daemon."""
+        """Record that a message from another daemon arrived."""
         self._last_message_at = now
 
     def tick(self, now):
-        """Note one tick; return whether a pause lies before it."""
+        """Record a tick; return whether this daemon was paused before it."""
         gap = 0.0 if self._ticked_at is None else now - self._ticked_at
         self._ticked_at = now
         if gap <= self.GAP_S:
@@ -94,20 +99,20 @@
         return True
 
     def answered(self):
-        """Note that some neighbour answered a heartbeat."""
+        """Record that a neighbour acked a heartbeat."""
         self._resumed_at = None
 
     def can_evaluate(self, now):
-        """Return whether findings about others can be trusted."""
+        """Return whether silences of others can be evaluated now."""
         if self._resumed_at is None:
             return True
         return now - self._resumed_at >= self.RESYNC_LIMIT_S
 
     def measure(self, silences_s, now):
-        """Judge ourselves by the silences of all our subjects.
+        """Update `slowness` and `is_isolated` from all subjects' silences.
 
-        Whoever still hears others is not cut off: then all subjects
-        have truly died at once.
+        A daemon that still receives messages from others is not isolated.
+        In that case all its subjects have actually died at once.
         """
         late = sum(silence >= ACK_TIMEOUT_S for silence in silences_s)
         self.slowness = min(max(late, 1), MAX_SLOWNESS)
@@ -121,10 +126,11 @@
         )
 
     def evaluate(self, silence_s):
-        """Return the `Finding` for a subject silent for so long.
+        """Return the `Finding` for a subject's silence in seconds.
 
-        Nobody is found dead while all subjects are silent: then it is
-        far likelier that this daemon is cut off.
+        No subject is declared dead while this daemon is isolated: if all
+        subjects are silent, its own network is far more likely to be at
+        fault.
         """
         late = ACK_TIMEOUT_S * self.slowness
         suspect = late + PROBE_TIMEOUT_S * self.slowness
--- a/packages/decisions/anvilwell_decisions/membership/news.py
+++ b/packages/decisions/anvilwell_decisions/membership/news.py
@@ -1,14 +1,18 @@
-"""What each neighbour has not yet acknowledged of the latest changes."""
+"""Queues the latest changes until each neighbour acknowledges them."""
 
 import itertools
 import typing
 
 from anvilwell_kernel.messages import membership as messages
 
+# Records that one heartbeat carries at most.
 MAX_MEMBERS = 16
+# Rate and size of the token bucket, in records.
 RATE_PER_S = 64.0
 BURST = 128.0
+# Unacknowledged records are sent again after this many seconds.
 RESEND_S = 1.0
+# Seconds after which a death is no longer announced to neighbours.
 DEATH_NEWS_TTL_S = 2.0
 
 _URGENCY = {
@@ -26,12 +30,12 @@
 
 
 class News:
-    """Queues changed members for each neighbour until acknowledged.
+    """Queues changed member records for each neighbour until acknowledged.
 
-    Each change crosses each edge of the neighbour graph about once, so
-    its cost per daemon is the graph's degree. A token bucket bounds
-    the records sent a second whatever happens to the fleet; leaving
-    members go first.
+    Each change crosses each edge of the neighbour graph about once, so its
+    cost per daemon is the graph's degree. A token bucket limits the records
+    sent per second, however many members change. Records of leaving members
+    are sent first.
     """
 
     def __init__(self):
@@ -42,14 +46,14 @@
         self._filled_at = None
 
     def set_neighbours(self, vm_ids):
-        """Keep queues for `vm_ids` alone."""
+        """Keep queues for `vm_ids` only."""
         waiting = self._waiting_by_neighbour
         sent = self._sent_by_neighbour
         self._waiting_by_neighbour = {v: waiting.get(v, {}) for v in vm_ids}
         self._sent_by_neighbour = {v: sent[v] for v in vm_ids if v in sent}
 
     def add(self, member, source=None, now=0.0):
-        """Queue `member` for all neighbours but the one it came from."""
+        """Queue `member` for all neighbours except `source`."""
         if member.state is messages.State.DEAD:
             self._died_at_by_id.pop(member.vm_id, None)
             self._died_at_by_id[member.vm_id] = now
@@ -58,14 +62,14 @@
                 waiting[member.vm_id] = member
 
     def mark_received(self, neighbour, member):
-        """Note that `neighbour` has a record of `member`."""
+        """Dequeue `member` for `neighbour` unless a newer record waits."""
         waiting = self._waiting_by_neighbour.get(neighbour, {})
         queued = waiting.get(member.vm_id)
         if queued and queued.rank <= member.rank:
             del waiting[member.vm_id]
 
     def urgent(self, now):
-        """Return the neighbours to tell before the next heartbeat."""
+        """Return the neighbours to send changes to at once."""
         self._fill(now)
         self._drop_old_deaths(now)
         if self._tokens < 1.0:
@@ -92,7 +96,7 @@
         return list(chosen)
 
     def acknowledge(self, neighbour, number):
-        """Forget what `neighbour` got by heartbeat `number`."""
+        """Dequeue what `neighbour` received with heartbeat `number`."""
         sent = self._sent_by_neighbour.get(neighbour)
         if sent and sent.number == number:
             del self._sent_by_neighbour[neighbour]
@@ -100,11 +104,11 @@
                 self.mark_received(neighbour, member)
 
     def _drop_old_deaths(self, now):
-        """Forget to tell of deaths found long ago.
+        """Dequeue deaths that were detected too long ago.
 
-        Who could not tell of them may have been cut off itself. What
-        is true of them reaches others by the exchange of tables, where
-        a claim of death is tried first.
+        A daemon that couldn't send them for that long may have been isolated
+        itself. Real deaths still reach others by the exchange of tables,
+        where a claim of death is verified first.
         """
         old = itertools.takewhile(
             lambda vm_id: now - self._died_at_by_id[vm_id] > DEATH_NEWS_TTL_S,
--- a/packages/decisions/anvilwell_decisions/membership/node.py
+++ b/packages/decisions/anvilwell_decisions/membership/node.py
@@ -1,4 +1,4 @@
-"""One daemon's view of the fleet, and what it sends to keep it true."""
+"""One daemon's view of the fleet, and the messages that update it."""
 
 import itertools
 import typing
@@ -10,11 +10,17 @@
 from anvilwell_decisions.membership import watch
 from anvilwell_kernel.messages import membership as messages
 
+# Neighbours that are requested to probe a member whose ack is late.
 PROBERS = 3
+# Mean time in seconds between exchanges of the table with a neighbour, and
+# until the next one after an exchange that brought new records.
 EXCHANGE_PERIOD_S = 10.0
 FOLLOW_UP_EXCHANGE_S = 0.5
+# Mean time in seconds between probes of a random dead member.
 DEAD_PROBE_PERIOD_S = 5.0
+# Seconds after which the record of a dead member is removed.
 TOMBSTONE_S = 3600.0
+# Records in one message of an exchange, unless one bucket has more.
 MAX_EXCHANGED = 200
 
 
@@ -37,7 +43,7 @@
 
 
 class Node:
-    """Decides all of membership for one daemon.
+    """The membership protocol of one daemon, without I/O.
 
     Methods take `now` in monotonic seconds and return a list of
     actions, `Send` or `Changed`.
@@ -70,7 +76,7 @@
 
     @property
     def members_by_id(self):
-        """All known members by id, this daemon and the dead included."""
+        """All known members by id, including this daemon and dead members."""
         return self._table.members_by_id
 
     @property
@@ -80,13 +86,13 @@
 
     @property
     def neighbours(self):
-        """Ids that heartbeats go to or come from."""
+        """Ids that this daemon sends heartbeats to or receives them from."""
         successors = self._rings.successors(self.me.vm_id)
         predecessors = self._rings.predecessors(self.me.vm_id)
         return list(dict.fromkeys([*successors, *predecessors]))
 
     def tick(self, now):
-        """Send what is due; call about ten times a second."""
+        """Send all messages that are due; call about ten times a second."""
         self._begin(now)
         if self._health.tick(now):
             self._watch.reset_silence()
@@ -102,13 +108,13 @@
         return self._actions
 
     def meet(self, now, vm_id):
-        """Exchange tables with a daemon found by seed or VM list."""
+        """Exchange tables with a daemon from the seeds or the VM list."""
         self._begin(now)
         self._send(vm_id, self._digest())
         return self._actions
 
     def leave(self, now):
-        """Announce that this daemon takes no new work."""
+        """Announce that this daemon accepts no new work."""
         self._begin(now)
         if self.me.state is not messages.State.LEAVING:
             self._update_own_record(
@@ -118,7 +124,7 @@
         return self._actions
 
     def mark_leaving(self, now, vm_ids):
-        """Take the VM list's word that `vm_ids` are leaving."""
+        """Mark `vm_ids` as leaving, as the VM list reports."""
         self._begin(now)
         for vm_id in vm_ids:
             known = self.members_by_id.get(vm_id)
@@ -129,7 +135,7 @@
         return self._actions
 
     def receive(self, now, sender, message):
-        """Take `message` from the daemon `sender`."""
+        """Handle `message` from the daemon `sender`."""
         self._begin(now)
         self._health.message_received(now)
         _RECEIVERS[type(message)](self, sender, message)
@@ -162,7 +168,7 @@
     def _handle_own_record(self, member):
         leaving = messages.State.LEAVING
         if member.incarnation < self._born:
-            return  # an earlier start's record; what it left is past
+            return  # a record of an earlier start of this daemon
         if member.state is leaving and self.me.state is not leaving:
             top = max(member.incarnation, self.me.incarnation)
             self._update_own_record(top + 1, leaving)
@@ -220,7 +226,7 @@
         self._send(vm_id, messages.Heartbeat(number, members))
 
     def _record_to_refute(self, vm_id):
-        """Return what `vm_id` should hear of itself, to refute it."""
+        """Return a record of `vm_id` to send to it, which it may refute."""
         claim = self._watch.claim(vm_id)
         if claim:
             return claim
@@ -258,7 +264,7 @@
         silences_s = self._watch.neighbour_silences_s(self._now)
         self._health.measure(silences_s, self._now)
         if was_isolated and not self.is_isolated:
-            # The silences were our own: count them anew.
+            # The isolation caused the silences: measure them again.
             self._watch.reset_silence()
             return
         for vm_id, subject in self._watch.subjects_by_id.items():
@@ -339,11 +345,11 @@
             self._send_difference(sender, buckets, wants_answer=False)
 
     def _merge_exchanged(self, sender, member):
-        """Take a record from another's table.
+        """Merge a record from another daemon's table.
 
-        It is old news to most, so it is not flooded: a daemon that
-        joins would send the whole fleet's records to its neighbours.
-        If it is news after all, the neighbours' next exchange shows it.
+        Most others have the record already, so it is not flooded: otherwise
+        a joining daemon would send the whole fleet's records to its
+        neighbours. If it is new, the next exchange of tables spreads it.
         """
         is_news = (
             member.vm_id in (sender, self.me.vm_id)
@@ -358,10 +364,10 @@
             self._exchange_at = min(self._exchange_at or soon, soon)
 
     def _needs_trial(self, member):
-        """Say whether `member` must be tried before it counts as dead.
+        """Return whether a claim of death must be verified first.
 
-        After a split each side calls the other dead; taking its word
-        would bury the living on both sides.
+        After a network split each side claims that the other is dead.
+        Accepting these claims would mark live members dead on both sides.
         """
         known = self.members_by_id.get(member.vm_id)
         return (
@@ -372,7 +378,7 @@
         )
 
     def _probe_dead(self):
-        """Try one of the dead now and then: a split may have healed."""
+        """Probe a random dead member periodically: a split may have healed."""
         if self._probe_dead_at is None:
             self._probe_dead_at = self._jittered(DEAD_PROBE_PERIOD_S)
         if self._now < self._probe_dead_at or not self._died_at_by_id:
--- a/packages/decisions/anvilwell_decisions/membership/rings.py
+++ b/packages/decisions/anvilwell_decisions/membership/rings.py
@@ -1,4 +1,4 @@
-"""The neighbour graph: several hashed rings, an expander of low degree."""
+"""Neighbour graph of several hashed rings: a low-degree expander."""
 
 import bisect
 import itertools
@@ -6,17 +6,18 @@
 import xxhash
 
 RINGS = 4
+# Members searched on a ring for one in another failure domain.
 MAX_WALK = 256
 
 
 class Rings:
-    """Derives each member's neighbours from the set of members alone.
+    """Derives each member's neighbours from the set of members only.
 
-    On each ring the members stand in the order of a hash of their id
-    with the ring's own seed. A member sends heartbeats to its successor
-    on each ring. The union of a few random rings is an expander, so
-    news crosses it in O(log n) hops, and a join or death changes only
-    the edges next to it. Cost of a change: O(log n) comparisons.
+    Each ring orders the members by a hash of their id with the ring's own
+    seed. A member sends heartbeats to its successor on each ring. The union
+    of a few random rings is an expander, so a change reaches all members in
+    O(log n) hops, and a join or death changes only the adjacent edges.
+    Adding or removing a member costs O(log n) comparisons.
     """
 
     def __init__(self):
@@ -30,13 +31,13 @@
         return len(self._domains_by_id)
 
     def add(self, vm_id, failure_domain):
-        """Add a member; it must not be there yet."""
+        """Add a member that is not on the rings yet."""
         self._domains_by_id[vm_id] = failure_domain
         for seed, ring in enumerate(self._rings):
             bisect.insort(ring, _position(vm_id, seed))
 
     def remove(self, vm_id):
-        """Remove a member that is there."""
+        """Remove a member that is on the rings."""
         del self._domains_by_id[vm_id]
         for seed, ring in enumerate(self._rings):
             del ring[bisect.bisect_left(ring, _position(vm_id, seed))]
@@ -44,7 +45,7 @@
     def successors(self, vm_id):
         """Return the ids to send heartbeats to.
 
-        At least one stands in another failure domain, if there is any.
+        At least one of them is in another failure domain, if there is one.
         """
         found = dict.fromkeys(self._next_on_rings(vm_id, 1))
         found.pop(vm_id, None)
--- a/packages/decisions/anvilwell_decisions/membership/table.py
+++ b/packages/decisions/anvilwell_decisions/membership/table.py
@@ -1,4 +1,4 @@
-"""The table of members: a merge by rank, and its digest."""
+"""The member table: merges records by rank and computes digests."""
 
 import xxhash
 
@@ -20,7 +20,7 @@
         self._ids_by_bucket = [set() for _ in range(BUCKETS)]
 
     def merge(self, member):
-        """Take `member` if it outranks what is known; say whether."""
+        """Store `member` if it outranks the stored record; return if so."""
         known = self.members_by_id.get(member.vm_id)
         if known and known.rank >= member.rank:
             return False
@@ -31,7 +31,7 @@
         return True
 
     def remove(self, vm_id):
-        """Forget a member."""
+        """Remove a member."""
         bucket = _bucket(vm_id)
         self._hashes[bucket] ^= _hash(self.members_by_id.pop(vm_id))
         self._ids_by_bucket[bucket].discard(vm_id)
@@ -41,7 +41,7 @@
         return list(self._hashes)
 
     def differing(self, hashes):
-        """Return the buckets whose hash is not as in `hashes`."""
+        """Return the buckets whose hash differs from that in `hashes`."""
         pairs = zip(self._hashes, hashes, strict=True)
         return [i for i, (ours, theirs) in enumerate(pairs) if ours != theirs]
 
@@ -56,7 +56,7 @@
 
 
 def _hash(member):
-    """Hash a record; the dead count as absent, as they are forgotten."""
+    """Hash a record; a dead member, removed later, hashes as absent."""
     if member is None or member.state is messages.State.DEAD:
         return 0
     text = f"{member.vm_id}/{member.incarnation}/{int(member.state)}"
--- a/packages/decisions/anvilwell_decisions/membership/vmlist.py
+++ b/packages/decisions/anvilwell_decisions/membership/vmlist.py
@@ -1,4 +1,4 @@
-"""Merges the platform's lagging VM list with what daemons see."""
+"""Merges the platform's VM list, which lags, with the membership."""
 
 import itertools
 
@@ -8,17 +8,19 @@
 
 READERS_PER_DOMAIN = 2
 READ_PERIOD_S = 1.0
+# A reading is ignored if more VMs are newly missing than the larger of this
+# share of the listed ones and this count.
 GONE_SHARE_LIMIT = 0.5
 GONE_COUNT_LIMIT = 3
 
 
 class VmListMerge:
-    """Derives from readings of the list which members are leaving.
+    """Derives from successive readings which members are leaving.
 
-    A VM listed as leaving is leaving. A VM that was listed and no
-    longer is counts as leaving too, not as dead: only silence makes a
-    member dead. A VM never listed may be new, since the list lags. A
-    reading in which most listed VMs vanish at once is not believed.
+    A VM listed as leaving is leaving. A VM that was listed before and no
+    longer is also counts as leaving, not as dead: only missing heartbeats
+    make a member dead. A VM that was never listed may be new, as the list
+    lags. A reading in which most listed VMs disappear at once is ignored.
     """
 
     def __init__(self):
@@ -27,7 +29,7 @@
         self.distrusted = 0
 
     def observe(self, vms_by_id):
-        """Take one reading and return the ids that are leaving."""
+        """Process one reading and return the ids that are leaving."""
         now_listed = frozenset(vms_by_id)
         gone = (self._listed | self._gone) - now_listed
         newly_gone = gone - self._gone
@@ -41,15 +43,15 @@
         return gone.union(leaving)
 
     def forget(self, vm_id):
-        """Forget a member that was found dead and buried."""
+        """Remove a dead member whose record has expired."""
         self._gone -= {vm_id}
 
 
 def reads_list(me, members):
-    """Return whether this daemon is one of its domain's list readers.
+    """Return whether `me` is one of its failure domain's list readers.
 
-    The readers are few, so the list's load does not grow with the
-    fleet; all daemons agree on them once they agree on the members.
+    There are few readers, so the load on the list doesn't grow with the
+    number of VMs. Daemons with the same members choose the same readers.
     """
     candidates = (
         member.vm_id
--- a/packages/decisions/anvilwell_decisions/samples/chunks.py
+++ b/packages/decisions/anvilwell_decisions/samples/chunks.py
@@ -10,8 +10,10 @@
 from anvilwell_decisions.samples import actions
 from anvilwell_decisions.samples import records
 
+# Longest time in seconds that an entry waits to share a chunk.
 COMMIT_INTERVAL_S = 0.5
 CHUNK_ENTRIES = 512
+# Seconds until a write with an unknown outcome is repeated.
 RETRY_S = 1.0
 
 
--- a/packages/decisions/anvilwell_decisions/samples/ledger.py
+++ b/packages/decisions/anvilwell_decisions/samples/ledger.py
@@ -18,6 +18,7 @@
 from anvilwell_kernel import exceptions
 from anvilwell_kernel import reasons
 
+# First and longest wait in seconds before scoring or copying is retried.
 RETRY_S = 1.0
 MAX_RETRY_S = 30.0
 
--- a/packages/decisions/anvilwell_decisions/samples/lengths.py
+++ b/packages/decisions/anvilwell_decisions/samples/lengths.py
@@ -6,10 +6,13 @@
 
 HIGH_PERCENTILE = 90.0
 MIDDLE_PERCENTILE = 50.0
+# Prediction for a running stream, as a multiple of its current length.
 GROWTH_FACTOR = 1.5
+# Longest length in tokens that the histogram of lengths distinguishes.
 MAX_TOKENS = 1 << 22
 SIGNIFICANT_DIGITS = 2
 PROMPTS_KEPT = 16384
+# Samples between two computations of the percentiles.
 REFRESH_EVERY = 64
 
 
--- a/packages/decisions/anvilwell_decisions/samples/retention.py
+++ b/packages/decisions/anvilwell_decisions/samples/retention.py
@@ -7,6 +7,7 @@
 from anvilwell_decisions.samples import identity
 from anvilwell_decisions.samples import records
 
+# Finished steps that stay for a trainer that resumes from an older cursor.
 KEPT_STEPS = 1
 
 
--- a/packages/decisions/anvilwell_decisions/samples/speeds.py
+++ b/packages/decisions/anvilwell_decisions/samples/speeds.py
@@ -3,6 +3,7 @@
 import collections
 import statistics
 
+# Length of a window in seconds.
 WINDOW_S = 10.0
 SLOW_WINDOWS = 2
 SLOW_SHARE = 0.5
--- a/packages/decisions/anvilwell_decisions/samples/training.py
+++ b/packages/decisions/anvilwell_decisions/samples/training.py
@@ -2,6 +2,7 @@
 
 import collections
 
+# Durations that the expected training time is computed from.
 DURATIONS_KEPT = 2
 
 
--- a/packages/decisions/anvilwell_decisions/samples/versions.py
+++ b/packages/decisions/anvilwell_decisions/samples/versions.py
@@ -5,6 +5,7 @@
 from anvilwell_kernel import exceptions
 
 MAX_DIGITS = 18
+# Characters of an invalid version that an error message shows.
 SHOWN_CHARS = 40
 
 
--- a/packages/decisions/tests/membership/conftest.py
+++ b/packages/decisions/tests/membership/conftest.py
@@ -1,4 +1,4 @@
-"""A few nodes and the messages between them, under the test's control."""
+"""A simulated fleet of nodes whose messages the test controls."""
 
 import heapq
 import itertools
@@ -25,7 +25,7 @@
 
 
 class Fleet:
-    """Runs nodes in virtual time; links may be cut, slow or lossy."""
+    """Runs nodes in virtual time; links can be cut, slow or lossy."""
 
     def __init__(self, count, *, domains=3, seed=0):
         self.now = 0.0
--- a/packages/decisions/tests/membership/test_fleet_machine.py
+++ b/packages/decisions/tests/membership/test_fleet_machine.py
@@ -1,4 +1,4 @@
-"""Small fleets under crashes, pauses, splits, loss, reorder, repetition."""
+"""Tests fleets under crashes, pauses, splits and message faults."""
 
 import hypothesis
 from hypothesis import stateful
@@ -11,7 +11,7 @@
 LEAVING = messages.State.LEAVING
 DEAD = messages.State.DEAD
 DAEMONS = 6
-# A single one left would take itself for cut off, on purpose.
+# A single remaining daemon treats itself as isolated, by design.
 LEFT_UP = 3
 KNOWN_WITHIN_S = 3.0
 DEAD_WITHIN_S = 4.0
@@ -26,7 +26,7 @@
 
 
 class FleetMachine(stateful.RuleBasedStateMachine):
-    """Disturbs a fleet; in the end all must be well again."""
+    """Disturbs a fleet, which must have correct views once undisturbed."""
 
     make_fleet = None
 
@@ -99,7 +99,7 @@
 
     @stateful.rule(east=st.sets(WHO, min_size=1))
     def split_for_long(self, east):
-        """Sides that call each other dead meet, and bury nobody."""
+        """No live member is marked dead when two sides of a split meet."""
         self.settle()
         self.split(east)
         self.fleet.run(SPLIT_S)
@@ -115,7 +115,7 @@
         assert buried <= self.fleet.down
 
     def settle(self):
-        """Let a disturbed fleet come to rest."""
+        """End all disturbances and wait until all views are right."""
         self.clear_disturbances()
         self.fleet.run(CALM_S)
         self.run_until_right()
@@ -129,13 +129,13 @@
 
     @stateful.rule(who=WHO, by_list=st.booleans())
     def leave(self, who, by_list):
-        """Let one leave in the midst of whatever goes on."""
+        """A daemon leaves, whatever disturbances there are."""
         if self.fleet.is_up(who) and who not in self.leaving:
             self.announce(who, by_list)
 
     @stateful.rule(who=WHO, by_list=st.booleans(), is_lost=st.booleans())
     def leave_in_calm(self, who, by_list, is_lost):
-        """All know in time, also if what was first sent is lost."""
+        """All learn of it in time, even if the first messages are lost."""
         if who in self.fleet.down or who in self.leaving:
             return
         self.settle()
@@ -156,7 +156,7 @@
 
     @stateful.rule(who=WHO)
     def crash_in_calm(self, who):
-        """All who are left find a crash in time."""
+        """All remaining daemons detect a crash in time."""
         others = set(self.fleet.nodes_by_id) - self.fleet.down - {who}
         if len(others) < LEFT_UP or who in self.fleet.down:
             return
@@ -167,7 +167,7 @@
 
     @stateful.invariant()
     def nobody_is_forgotten(self):
-        """The dead are remembered for longer than an example takes."""
+        """Records of dead members last longer than an example."""
         for node in self.fleet.nodes_by_id.values():
             known = self.known_by_node.setdefault(node, set())
             assert known <= set(node.members_by_id)
@@ -188,7 +188,7 @@
                 assert known.incarnation <= own.incarnation
 
     def teardown(self):
-        """When all is well again, all agree, are right and stay so."""
+        """Without disturbances all views become right and stay right."""
         self.clear_disturbances()
         self.run_until_right()
         self.fleet.run(CHECK_INTERVAL_S)
--- a/packages/decisions/tests/membership/test_node.py
+++ b/packages/decisions/tests/membership/test_node.py
@@ -1,4 +1,4 @@
-"""Membership of small fleets in virtual time."""
+"""Tests membership of small fleets in virtual time."""
 
 import pytest
 
@@ -134,7 +134,7 @@
 
 
 def blamed_by(fleet, vm_id, since):
-    """Return what `vm_id` found out or heard against others."""
+    """Return the changes at `vm_id` that mark another member as not live."""
     return [
         change
         for at, who, change in fleet.changes
@@ -183,7 +183,7 @@
 def test_few_who_were_cut_off_bury_nobody_when_they_are_back(
     make_fleet, cut_off
 ):
-    """A silence of their own, and old news of deaths, are not told."""
+    """Isolated daemons announce neither silences nor old deaths afterwards."""
     fleet = make_fleet(6)
     fleet.run(8.0)
     fleet.group_by_id.update(dict.fromkeys(cut_off, "east"))
@@ -257,7 +257,7 @@
         if sender == "late" and isinstance(send.message, messages.Heartbeat)
         for member in send.message.members
     ]
-    # Its own record, and that of the daemon it joined by.
+    # Its own record and that of the daemon that it joined through.
     assert len(set(announced)) <= 2
     assert set(fleet.states_of("late").values()) == {LIVE}
     assert len(fleet.states_of("late")) == 41
--- a/packages/decisions/tests/membership/test_parts.py
+++ b/packages/decisions/tests/membership/test_parts.py
@@ -1,4 +1,4 @@
-"""Neighbour graph, table, news and VM list, each alone."""
+"""Tests the neighbour graph, member table, news and VM list separately."""
 
 import random
 import typing
