--- a/packages/decisions/anvilwell_decisions/samples/delivery.py
+++ b/packages/decisions/anvilwell_decisions/samples/delivery.py
@@ -235,7 +235,7 @@
     def _check_cursor(self, cursor):
         if not self._first <= cursor <= self.end:
             raise exceptions.BadRequest(
-                f"cursor {cursor} is outside the kept positions "
+                f"cursor {cursor} is outside the stored positions "
                 f"{self._first} to {self.end}; use a next_cursor that "
                 "this run returned"
             )
--- a/packages/decisions/anvilwell_decisions/samples/identity.py
+++ b/packages/decisions/anvilwell_decisions/samples/identity.py
@@ -55,8 +55,8 @@
     twice = sorted({name for name in names if names.count(name) > 1})
     if twice:
         raise exceptions.BadRequest(
-            f"groups {', '.join(twice)} are named twice; give each "
-            "group of a step a name of its own"
+            f"groups {', '.join(twice)} appear more than once; give "
+            "each group of a step its own name"
         )
     empty = itertools.chain.from_iterable(
         [group.group]
@@ -66,6 +66,6 @@
     wrong = sorted(empty)
     if wrong or not step.groups:
         raise exceptions.BadRequest(
-            f"groups {', '.join(wrong) or '(none)'} ask for no sample; "
+            f"groups {', '.join(wrong) or '(none)'} request no sample; "
             "samples and max_tokens must be 1 or more"
         )
--- a/packages/decisions/anvilwell_decisions/samples/ledger.py
+++ b/packages/decisions/anvilwell_decisions/samples/ledger.py
@@ -19,6 +19,7 @@
 from anvilwell_kernel import reasons
 
 # First and longest wait in seconds before scoring or copying is retried.
+# Refused callers get the first one as their Retry-After.
 RETRY_S = 1.0
 MAX_RETRY_S = 30.0
 
@@ -448,7 +449,8 @@
     def _check_active(self):
         if not self.active:
             raise exceptions.Refused(
-                f"run {self.run} is not held here; ask again",
+                f"run {self.run} is not held by this daemon; send the "
+                "request again",
                 reason=reasons.Refusal.NOT_LEADER,
                 retry_after=RETRY_S,
             )
