--- a/packages/decisions/tests/membership/test_fleet_machine.py
+++ b/packages/decisions/tests/membership/test_fleet_machine.py
@@ -166,7 +166,7 @@
         assert set(self.fleet.states_of(who).values()) == {DEAD}
 
     @stateful.invariant()
-    def nobody_is_forgotten(self):
+    def members_are_remembered(self):
         """Records of dead members last longer than an example."""
         for node in self.fleet.nodes_by_id.values():
             known = self.known_by_node.setdefault(node, set())
@@ -174,7 +174,7 @@
             known.update(node.members_by_id)
 
     @stateful.invariant()
-    def nobody_calls_itself_dead(self):
+    def no_member_marks_itself_dead(self):
         for vm_id, node in self.fleet.nodes_by_id.items():
             assert node.members_by_id[vm_id].state in (LIVE, LEAVING)
 
@@ -192,7 +192,7 @@
         self.clear_disturbances()
         self.run_until_right()
         self.fleet.run(CHECK_INTERVAL_S)
-        self.nobody_is_forgotten()
+        self.members_are_remembered()
         self.assert_views_are_right()
 
     def run_until_right(self):
--- a/packages/decisions/tests/membership/test_node.py
+++ b/packages/decisions/tests/membership/test_node.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("loses", [True, False])
-def test_paused_daemon_declares_nobody_dead_when_it_wakes(formed, loses):
+def test_paused_daemon_declares_nobody_dead_when_it_resumes(formed, loses):
     fleet = formed(20)
     fleet.max_delay_s = 0.4
     fleet.run(2.0)
@@ -115,11 +115,11 @@
     fleet.paused.discard("vm3")
     woke_at = fleet.now
     fleet.run(10.0)
-    assert blamed_by(fleet, "vm3", woke_at) == []
+    assert failures_reported_by(fleet, "vm3", woke_at) == []
     assert set(fleet.states_of("vm3").values()) == {LIVE}
 
 
-def test_woken_daemon_blames_nobody_until_it_was_answered(formed):
+def test_resumed_daemon_declares_nobody_dead_until_it_gets_an_ack(formed):
     fleet = formed(3)
     fleet.paused.add("vm0")
     fleet.run(10.0)
@@ -127,13 +127,13 @@
     fleet.group_by_id["vm0"] = "cut off"
     woke_at = fleet.now
     fleet.run(4.0)
-    assert blamed_by(fleet, "vm0", woke_at) == []
+    assert failures_reported_by(fleet, "vm0", woke_at) == []
     fleet.group_by_id.clear()
     fleet.run(20.0)
     assert set(fleet.states_of("vm0").values()) == {LIVE}
 
 
-def blamed_by(fleet, vm_id, since):
+def failures_reported_by(fleet, vm_id, since):
     """Return the changes at `vm_id` that mark another member as not live."""
     return [
         change
@@ -156,7 +156,9 @@
     assert set(fleet.states_of("vm3").values()) == {LIVE}
 
 
-def test_split_marks_the_other_side_and_heals_without_burying_anyone(formed):
+def test_split_marks_the_other_side_dead_and_heals_without_false_deaths(
+    formed,
+):
     fleet = formed(30)
     east = {f"vm{n}" for n in range(15)}
     fleet.group_by_id.update(dict.fromkeys(east, "east"))
@@ -180,7 +182,7 @@
 
 
 @pytest.mark.parametrize("cut_off", [["vm0"], ["vm1"], ["vm0", "vm5"]])
-def test_few_who_were_cut_off_bury_nobody_when_they_are_back(
+def test_isolated_daemons_declare_nobody_dead_once_reconnected(
     make_fleet, cut_off
 ):
     """Isolated daemons announce neither silences nor old deaths afterwards."""
@@ -228,7 +230,7 @@
     assert large <= small * 1.3
 
 
-def test_direct_path_lost_but_others_vouch_keeps_a_member_live(formed):
+def test_member_that_only_others_reach_stays_live(formed):
     fleet = formed(12)
     watcher = fleet.nodes_by_id["vm0"]
     target = watcher.neighbours[0]
--- a/packages/decisions/tests/membership/test_parts.py
+++ b/packages/decisions/tests/membership/test_parts.py
@@ -158,7 +158,7 @@
     assert merge.observe(_vms("a", "c")) == {"b"}
 
 
-def test_vm_list_that_loses_most_vms_at_once_is_not_believed():
+def test_vm_list_that_loses_most_vms_at_once_is_ignored():
     merge = vmlist.VmListMerge()
     merge.observe(_vms(*"abcdefgh"))
     assert merge.observe({}) == frozenset()
