--- a/packages/gateway/anvilwell_gateway/attempts.py
+++ b/packages/gateway/anvilwell_gateway/attempts.py
@@ -138,7 +138,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def _timed_out(self, what):
-        """Return the error for a `what` that did not come in time."""
+        """Return the timeout error; `what` names what came too late."""
         verdict = self._verdict
         if self.tried_replica_ids:
             verdict = verdicts.Verdict.MAY_HAVE_RUN
@@ -203,9 +203,10 @@
 
     @contextlib.asynccontextmanager
     async def _trial(self):
-        """Hold the trial of a suspect request, held by one entry at a time.
+        """Hold the right to try a suspect request at a replica.
 
-        Sets how long the request must wait if another entry has the trial.
+        One entry has this trial at a time. Sets how long the request must
+        wait if another entry has it.
         """
         tracker = self._forwarder.crash_tracker
         if tracker.is_empty:
--- a/packages/gateway/anvilwell_gateway/batches/committing.py
+++ b/packages/gateway/anvilwell_gateway/batches/committing.py
@@ -45,7 +45,7 @@
             batch.has_new_results.clear()
             if not batch.state.listable_results():
                 continue
-            # Results that arrived during a long write have waited for it.
+            # Results that arrived during a long write have already waited.
             await self._wait_for_more_groups(GROUPING_DELAY_S - write_s)
             results = sizes.fit_results(
                 batch.state.listable_results(), records.MAX_VALUE_BYTES
--- a/packages/gateway/anvilwell_gateway/batches/reader.py
+++ b/packages/gateway/anvilwell_gateway/batches/reader.py
@@ -1,4 +1,4 @@
-"""Reads batches of other owners from the store and caches them."""
+"""Reads batches that other entries own from the store, and caches them."""
 
 import collections
 import typing
--- a/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
+++ b/packages/gateway/anvilwell_gateway/batches/slot_sharing.py
@@ -64,7 +64,7 @@
         self.on_change = None
 
     def update_homes(self, services):
-        """Update the homes of these services.
+        """Update the homes of the given services.
 
         Returns
         -------
--- a/packages/gateway/anvilwell_gateway/config.py
+++ b/packages/gateway/anvilwell_gateway/config.py
@@ -91,7 +91,7 @@
 
 
 class UsageSection(typing.NamedTuple):
-    """``[usage]``: usage reports by organisation; none without it."""
+    """``[usage]``: usage reports by organisation; off without this section."""
 
     endpoint: typing.Annotated[
         options.AddressOption,
