--- a/packages/decisions/anvilwell_decisions/batches/batch_state.py
+++ b/packages/decisions/anvilwell_decisions/batches/batch_state.py
@@ -8,7 +8,7 @@
 
 
 class ItemState(enum.Enum):
-    """The state of an item.
+    """The state of one item of a batch.
 
     In state ``UNSCORED`` the text is complete but its score is missing. The
     item becomes ``DONE``, and its result may be listed, once it has the score
@@ -120,16 +120,16 @@
         ]
 
     def mark_running(self, item_id):
-        """Record that a run of the item has started."""
+        """Record that a run of an item has started."""
         self._states_by_id[item_id] = ItemState.RUNNING
 
     def mark_stopped(self, item_id):
-        """Record that a run ended before the text was complete."""
+        """Record that a run ended before the item's text was complete."""
         if self._states_by_id[item_id] is ItemState.RUNNING:
             self._states_by_id[item_id] = ItemState.WAITING
 
     def mark_text_complete(self, item_id):
-        """Record that the text is complete; its score may be missing."""
+        """Record that an item's text is complete; its score may be missing."""
         progress = self.progress_by_id[item_id]
         progress.complete()
         self._states_by_id[item_id] = self._state_of_complete(progress)
@@ -149,7 +149,7 @@
         return sorted(found, key=self._unfinished_in_group)
 
     def _unfinished_in_group(self, item_id):
-        """Return how many items of the item's group are not finished."""
+        """Return how many items in the group of an item are not finished."""
         group = self.items_by_id[item_id].group
         return sum(
             self._states_by_id[member] not in _ENDED
@@ -157,11 +157,11 @@
         )
 
     def mark_scoring(self, item_id):
-        """Record that the item's scoring call has started."""
+        """Record that the scoring call of an item has started."""
         self._states_by_id[item_id] = ItemState.SCORING
 
     def mark_not_scored(self, item_id, failures=0, max_failures=0):
-        """Record that a scoring call returned no score.
+        """Record that the scoring call of an item returned no score.
 
         ``failures`` counts its attempts that failed in the scorer itself; the
         item is abandoned after ``max_failures`` of these in total. Refused
@@ -187,7 +187,7 @@
         self._states_by_id[item_id] = ItemState.DONE
 
     def count_failure(self, item_id):
-        """Count a failed run; abandon the item at `max_failures` of these."""
+        """Count a failed run of an item; abandon the item after too many."""
         progress = self.progress_by_id[item_id]
         progress.failures += 1
         if progress.failures >= self._max_failures:
@@ -196,7 +196,7 @@
             self.mark_stopped(item_id)
 
     def abandon(self, item_id):
-        """Record that the item can't be completed."""
+        """Record that an item can't be completed."""
         self._states_by_id[item_id] = ItemState.ABANDONED
 
     def abandon_rest(self):
@@ -210,7 +210,7 @@
         self.is_ended = True
 
     def listable_results(self):
-        """Return the results of finished groups that are not listed yet."""
+        """Return the results of finished groups that are not yet listed."""
         if self.is_ended:
             return []
         return [
@@ -230,7 +230,7 @@
         return listed + finished >= (self.submission.wanted_groups or total)
 
     def mark_listed(self, results):
-        """Record that `results` are stored at the next positions."""
+        """Record that `results` are listed: stored at the next positions."""
         for result in results:
             self._record_listed(result)
 
--- a/packages/decisions/anvilwell_decisions/batches/dispatch.py
+++ b/packages/decisions/anvilwell_decisions/batches/dispatch.py
@@ -58,7 +58,7 @@
 
 
 class Run(typing.NamedTuple):
-    """A run in progress.
+    """A run of an item at a replica, in progress.
 
     ``events`` is the number of events that the item's text has by now,
     including those of earlier runs; ``earlier_moves`` counts how often the
@@ -107,7 +107,7 @@
         self._shortlists.set_candidates(self._workers_by_id.values())
 
     def update_replica(self, replica_id, replica):
-        """Update one replica, or drop it if `replica` is None."""
+        """Update the facts of one replica, or drop it if `replica` is None."""
         worker = self._workers_by_id.get(replica_id)
         if replica is None:
             self._workers_by_id.pop(replica_id, None)
@@ -270,7 +270,7 @@
 
 
 def _pace_step(expected_s, shortest_s):
-    """Return a replica's expected time in steps of the shortest one."""
+    """Return a replica's expected time in fractions of the shortest one."""
     if expected_s is None or not shortest_s:
         return PACE_STEPS
     return int(expected_s / shortest_s * PACE_STEPS)
--- a/packages/decisions/anvilwell_decisions/batches/lengths.py
+++ b/packages/decisions/anvilwell_decisions/batches/lengths.py
@@ -28,13 +28,13 @@
         self._tails_by_key = {}
 
     def observe(self, kind, expected_tokens, events):
-        """Record the number of events of a complete text."""
+        """Record the number of events of an item's complete text."""
         key, scale = _scaled(kind, expected_tokens)
         self._lengths_by_key[key].append(events / scale)
         self._tails_by_key.pop(key, None)
 
     def remaining_events(self, kind, expected_tokens, events_made):
-        """Return how many events are expected after `events_made`."""
+        """Return how many events a run is expected to add to `events_made`."""
         key, scale = _scaled(kind, expected_tokens)
         lengths, sums = self._tails(key)
         longer = len(lengths) - bisect.bisect_right(
@@ -45,7 +45,7 @@
         return max(1.0, sums[longer] / longer * scale - events_made)
 
     def tokens_per_event(self, kind):
-        """Return the number of tokens of one event, 0.0 if unknown.
+        """Return the number of tokens in one event, 0.0 if unknown.
 
         It is derived from the callers' estimates, which are in tokens and
         whose median is right.
@@ -65,5 +65,5 @@
 
 
 def _scaled(kind, expected_tokens):
-    """Return the key under which lengths are stored, and their scale."""
+    """Return the key for the lengths of a kind of items, and their scale."""
     return (kind, expected_tokens > 0), max(1, expected_tokens)
--- a/packages/decisions/anvilwell_decisions/batches/memory.py
+++ b/packages/decisions/anvilwell_decisions/batches/memory.py
@@ -81,7 +81,7 @@
         return shared_id in self._shared_by_id
 
     def peak_share(self, demand):
-        """Return the share of the memory used at the peak with one more run.
+        """Return the share of memory used at the peak if a run is added.
 
         All texts grow at the same rate, and a run frees its memory when it
         ends; so the use has a local peak at the end of each run.
@@ -103,7 +103,7 @@
         return (peak + sum(shared.values())) / self._total
 
     def fits(self, demand):
-        """Return whether the peak with one more run stays below the limit."""
+        """Return whether memory suffices at the peak if a run is added."""
         return self.peak_share(demand) <= MAX_PEAK_SHARE
 
 
--- a/packages/decisions/anvilwell_decisions/batches/move_selection.py
+++ b/packages/decisions/anvilwell_decisions/batches/move_selection.py
@@ -115,7 +115,7 @@
         return self._move(run, left, stay_s, stay_s - go_s, moves.Cause.MEMORY)
 
     def _gain(self, run, takes_slot=False):
-        """Return the `moves.Move` that saves a run most time, or None.
+        """Return the `moves.Move` that saves most time for a run, or None.
 
         With ``takes_slot`` the slot is no longer free for other moves.
         """
--- a/packages/decisions/anvilwell_decisions/batches/moves.py
+++ b/packages/decisions/anvilwell_decisions/batches/moves.py
@@ -117,7 +117,7 @@
 
 
 class _ItemMoves(typing.NamedTuple):
-    """The moves of an item that has not ended.
+    """The moves of an item whose text is not complete.
 
     ``events`` is the length of its text at the first move, made at ``at``;
     ``pace_s`` is the time that an event was expected to take from then on
@@ -133,7 +133,7 @@
 
 
 class MoveHistory:
-    """Remembers the moves of items that have not ended."""
+    """Remembers the moves of items whose texts are not complete."""
 
     def __init__(self):
         self._moves_by_item = collections.OrderedDict()
--- a/packages/decisions/anvilwell_decisions/batches/paces.py
+++ b/packages/decisions/anvilwell_decisions/batches/paces.py
@@ -1,4 +1,4 @@
-"""Measures how fast a replica makes events, apart from temporary slowdowns."""
+"""Measures how fast a replica makes events, in and outside of slowdowns."""
 
 import bisect
 import collections
@@ -142,7 +142,7 @@
             )
 
     def usual_s(self, now):
-        """Return the pace apart from slowdowns, or None if it is unknown."""
+        """Return the pace outside of slowdowns, or None if it is unknown."""
         is_old = now - self._seen_at > MAX_USUAL_AGE_S
         if is_old or len(self._usual_gaps) < MIN_GAPS:
             return None
@@ -205,7 +205,7 @@
         return self._slowdowns.remaining_s(now - self._slowdown.began_at)
 
     def _forget_slowdown(self, now):
-        """Drop a slowdown not observed for as long as it was expected to last.
+        """Drop a slowdown that was not observed for its expected duration.
 
         Its duration is unknown and is not recorded.
         """
--- a/packages/decisions/anvilwell_decisions/batches/progress.py
+++ b/packages/decisions/anvilwell_decisions/batches/progress.py
@@ -8,7 +8,7 @@
 
 
 class EventGap(Exception):
-    """An event does not follow the last one, so the run is unusable."""
+    """An event does not follow the previous one, so its run is unusable."""
 
 
 class Score(typing.NamedTuple):
@@ -29,7 +29,7 @@
 
 
 class Progress:
-    """Collects the events of an item in order, each once.
+    """Collects the events of an item's text, in order and each once.
 
     A resumed run continues the text of the runs before it. ``versions`` holds
     the model version of every event in the text. A ``score`` belongs to this
@@ -80,7 +80,7 @@
         self.events.append(event.data)
 
     def complete(self):
-        """Record that the text is complete."""
+        """Record that the item's text is complete."""
         self.is_complete = True
 
     def is_usable(self, min_version, one_version):
@@ -89,7 +89,7 @@
         return is_fresh and not (one_version and len(self.versions) > 1)
 
     def restart(self):
-        """Drop the text; the item runs from its beginning."""
+        """Drop the item's text; its next run starts from the beginning."""
         self.events = []
         self.versions = []
         self.is_complete = False
--- a/packages/decisions/anvilwell_decisions/batches/scoring.py
+++ b/packages/decisions/anvilwell_decisions/batches/scoring.py
@@ -1,4 +1,4 @@
-"""Limits the scoring calls of one entry to a service, and their duration."""
+"""Limits the number and duration of an entry's scoring calls to a service."""
 
 import collections
 
@@ -51,7 +51,7 @@
         self._window = min(self._window, max_window)
 
     def may_start(self, now):
-        """Return whether another call may start."""
+        """Return whether another scoring call may start."""
         return self.running < int(self._window) and now >= self._not_before
 
     def limit_s(self, route):
--- a/packages/decisions/anvilwell_decisions/batches/slots.py
+++ b/packages/decisions/anvilwell_decisions/batches/slots.py
@@ -208,7 +208,7 @@
         )
 
     def record_loan(self, lender, counts_by_replica, requested_at):
-        """Record a lender's answer to the request sent at `requested_at`."""
+        """Record the slots lent on a request sent at `requested_at`."""
         self._borrowed_by_lender[lender] = _Loan(
             counts_by_replica, requested_at + LOAN_S
         )
--- a/packages/decisions/anvilwell_decisions/duties/notice_recipients.py
+++ b/packages/decisions/anvilwell_decisions/duties/notice_recipients.py
@@ -14,7 +14,7 @@
 
 
 class NoticeRecipients:
-    """Remembers which entries need an agent's notices, as responses state."""
+    """Remembers which entries need an agent's notices."""
 
     def __init__(self):
         self._ranked = ()
@@ -87,7 +87,7 @@
         return self._send_to(self._next_to_ask())
 
     def _next_to_ask(self):
-        """Return a list of the next VM to ask, empty if there is none."""
+        """Return a list with the next VM to ask, empty if none is left."""
         if self._asked == MAX_ASKED:
             return []
         self._asked += 1
--- a/packages/decisions/anvilwell_decisions/duties/usage.py
+++ b/packages/decisions/anvilwell_decisions/duties/usage.py
@@ -44,7 +44,7 @@
 
 
 class Ledger(typing.NamedTuple):
-    """The state of the usage duty, kept in the store for every holder.
+    """The state of the usage duty, which its holders keep in the store.
 
     Windows up to ``last`` are settled. The reports in ``reports`` may be sent
     again, without any change; other settled windows are never sent again.
--- a/packages/decisions/anvilwell_decisions/outages/paths.py
+++ b/packages/decisions/anvilwell_decisions/outages/paths.py
@@ -43,7 +43,7 @@
         return True
 
     def answered(self, path):
-        """Record a response on `path`; return whether the path changed.
+        """Record a response on `path`; return whether `current` changed.
 
         Any response on the direct path ends the use of a peer.
         """
@@ -57,7 +57,7 @@
         return True
 
     def failed(self, path, began_at, now):
-        """Record a failure on `path`; return whether the path changed.
+        """Record a failure on `path`; return whether `current` changed.
 
         Calls that were in progress together and end together, such as watches
         that the service closes, count as one failure.
--- a/packages/decisions/anvilwell_decisions/requests/admission.py
+++ b/packages/decisions/anvilwell_decisions/requests/admission.py
@@ -107,7 +107,7 @@
         return self._settings
 
     def configure(self, settings):
-        """Replace the settings.
+        """Replace the settings of admission.
 
         Running and queued requests, the learned limit and the latency
         estimates are kept.
@@ -218,7 +218,7 @@
         return refused
 
     def _has_capacity(self, priority):
-        """Return whether a request of this class can be admitted now."""
+        """Return whether a request of a priority class can be admitted now."""
         if self.in_flight >= self.limit:
             return False
         if priority is facts.Priority.LIVE:
--- a/packages/decisions/anvilwell_decisions/requests/claims.py
+++ b/packages/decisions/anvilwell_decisions/requests/claims.py
@@ -355,7 +355,7 @@
             ]
 
     def _delete_if_void(self, key, stored):
-        """Schedule deletion of a void record; return whether it is void."""
+        """Schedule deletion of a void claim's record; return whether it is."""
         record = stored.record
         if (
             record is None
@@ -368,7 +368,7 @@
         return True
 
     def _drop_deleted(self, swaps, stored_by_key):
-        """Drop settlements of keys that no longer have a record."""
+        """Drop pending changes of keys that no longer have a record."""
         for swap in swaps:
             if swap.expected and swap.key not in stored_by_key:
                 self._settling_by_key.pop(swap.key, None)
--- a/packages/decisions/anvilwell_decisions/requests/expected_latency.py
+++ b/packages/decisions/anvilwell_decisions/requests/expected_latency.py
@@ -122,7 +122,7 @@
         )
 
     def _load_factor(self, replica_id, now):
-        """Return the factor by which load lengthens one more call.
+        """Return the factor by which a replica's load lengthens a new call.
 
         A call that runs beside others takes longer by a share of up to
         `CONCURRENCY_PENALTY`. A call that finds no free slot also waits for
--- a/packages/decisions/anvilwell_decisions/requests/fair_shares.py
+++ b/packages/decisions/anvilwell_decisions/requests/fair_shares.py
@@ -72,7 +72,7 @@
             self._limit += 1 / self._limit
 
     def refused(self, replica_id, replica_count, now):
-        """Record that one of `replica_count` replicas was full."""
+        """Record that one of `replica_count` replicas was full for a call."""
         self._refused_at_by_replica = {
             each_id: at
             for each_id, at in self._refused_at_by_replica.items()
--- a/packages/decisions/anvilwell_decisions/requests/grants.py
+++ b/packages/decisions/anvilwell_decisions/requests/grants.py
@@ -1,4 +1,4 @@
-"""Rate limits of teams that hold across all entries.
+"""Limits the request rate of each team over all entries.
 
 For each team one issuer divides the rate into grants that expire. The sum of
 the grants that may still be in use never exceeds the limit, even if messages
@@ -57,7 +57,7 @@
 
 
 class _GrantedShare(typing.NamedTuple):
-    """A grant that its entry may still use, and when it expires."""
+    """A grant that an entry may still use, and when it expires."""
 
     number: int
     rate_per_s: float
@@ -73,7 +73,7 @@
 
     @property
     def held_per_s(self):
-        """The largest rate that the entry may use now."""
+        """The largest rate that the entry's grants let it use now."""
         return max((share.rate_per_s for share in self.shares), default=0.0)
 
     def drop_unused(self, now, number):
@@ -147,7 +147,7 @@
         )
 
     def _fair_rate_per_s(self, account):
-        """Return the rate in proportion to demand, within what is free."""
+        """Return the rate by share of demand, limited to what is free."""
         free_per_s = self._limit_per_s - (
             self._held_per_s - account.held_per_s
         )
--- a/packages/decisions/anvilwell_decisions/requests/limits.py
+++ b/packages/decisions/anvilwell_decisions/requests/limits.py
@@ -26,7 +26,7 @@
 
 
 class AdaptiveLimit:
-    """Additive increase, multiplicative decrease by latency per unit of work.
+    """A limit with additive increase and multiplicative decrease by latency.
 
     After each window of completed requests, their latency per unit of work is
     compared with the best seen so far. The limit grows while it is fully used
@@ -47,7 +47,7 @@
         self._window_max_demand = 0
 
     def observe(self, latency_s, work, demand):
-        """Record one completed request.
+        """Record the latency and work of one completed request.
 
         Parameters
         ----------
@@ -66,7 +66,7 @@
             self._close_window()
 
     def record_saturation(self, running):
-        """Cap the limit, as the server has requests waiting inside it.
+        """Cap the limit, as requests wait inside the backend server.
 
         Parameters
         ----------
--- a/packages/decisions/anvilwell_decisions/requests/loads.py
+++ b/packages/decisions/anvilwell_decisions/requests/loads.py
@@ -21,7 +21,7 @@
         self.total_own += 1
 
     def ended(self, replica_id):
-        """Count the end of an attempt."""
+        """Count the end of an attempt at a replica."""
         own = self._own_by_id.get(replica_id, 0)
         if own == 0:
             return
@@ -32,7 +32,7 @@
             self._own_by_id[replica_id] = own - 1
 
     def report(self, report):
-        """Record a delayed load report."""
+        """Record the load report of a replica, which arrives with a delay."""
         self._reported_by_id[report.replica_id] = report.in_flight
         others = max(0, report.in_flight - report.own)
         self._others_by_id[report.replica_id] = others
@@ -47,11 +47,11 @@
         return self._own_by_id.get(replica_id, 0)
 
     def others(self, replica_id):
-        """Return the other entries' requests, as last reported."""
+        """Return other entries' requests at a replica, as last reported."""
         return self._others_by_id.get(replica_id, 0)
 
     def reported(self, replica_id):
-        """Return the total load as last reported."""
+        """Return the total load of a replica as last reported."""
         return self._reported_by_id.get(replica_id, 0)
 
     def estimate(self, replica_id):
--- a/packages/decisions/anvilwell_decisions/requests/quarantine.py
+++ b/packages/decisions/anvilwell_decisions/requests/quarantine.py
@@ -28,14 +28,14 @@
 
 
 class _CutAnswer(typing.NamedTuple):
-    """A request whose response was cut, and when."""
+    """A request whose response a replica broke off, and when."""
 
     fingerprint: str
     at: float
 
 
 class _CrashRecord(typing.NamedTuple):
-    """The replicas that crashed under one request, and the last time."""
+    """The replicas that crashed under one request, and when the last did."""
 
     replica_ids: frozenset
     at: float
@@ -71,11 +71,11 @@
 
     @property
     def cut_replica_ids(self):
-        """Ids of the replicas that recently cut a response."""
+        """Ids of the replicas that recently broke off a response."""
         return set(self._cuts_by_replica)
 
     def record_cut(self, fingerprint, replica_id, now):
-        """Record that a replica cut the response to a request.
+        """Record that a replica broke off the response to a request.
 
         Returns whether the replica is already known to have crashed, in which
         case the crash counts against the request at once.
--- a/packages/decisions/anvilwell_decisions/requests/records.py
+++ b/packages/decisions/anvilwell_decisions/requests/records.py
@@ -13,7 +13,7 @@
 
 
 class State(enum.StrEnum):
-    """The progress of the one execution of a key."""
+    """The state of the only execution of an idempotency key."""
 
     CLAIMED = "claimed"
     UNKNOWN = "unknown"
--- a/packages/decisions/anvilwell_decisions/requests/routing.py
+++ b/packages/decisions/anvilwell_decisions/requests/routing.py
@@ -106,17 +106,17 @@
         self._order = sortedcontainers.SortedList()
 
     def replica_up(self, facts, now):
-        """Add a replica to the order."""
+        """Add a replica to the order by reported load."""
         super().replica_up(facts, now)
         self._insert(facts.replica_id)
 
     def replica_down(self, replica_id, now):
-        """Remove a replica from the order."""
+        """Remove a replica from the order by reported load."""
         super().replica_down(replica_id, now)
         self._remove(replica_id)
 
     def report(self, report, now):
-        """Update the position of the replica in the order."""
+        """Record a load report and update the replica's position."""
         super().report(report, now)
         if report.replica_id in self._pool.facts_by_id:
             self._insert(report.replica_id)
@@ -249,7 +249,7 @@
         return self._loads.own(replica_id) < allowed + 1
 
     def _ring_candidates(self, request):
-        """Return the next distinct eligible replicas on the ring."""
+        """Return the next eligible replicas on the ring after the prefix."""
         start = bisect.bisect_left(self._ring, (_point(request.prefix), ""))
         found = []
         steps = min(len(self._ring), 4 * self._candidates)
--- a/packages/decisions/anvilwell_decisions/requests/server_loads.py
+++ b/packages/decisions/anvilwell_decisions/requests/server_loads.py
@@ -32,14 +32,14 @@
 
 
 class _TimedLoad(typing.NamedTuple):
-    """A load and when it was received, in seconds."""
+    """A reported load, and the time in seconds at which it was received."""
 
     load: ServerLoad
     at: float
 
 
 class ServerLoads:
-    """The newest reported load of each replica, as far as it is still valid.
+    """The newest reported load of each replica, while it is valid.
 
     The age counts from the arrival of the response's headers, by the clock of
     this process. The slots are valid until the replica reports others; the
--- a/packages/decisions/anvilwell_decisions/requests/service_times.py
+++ b/packages/decisions/anvilwell_decisions/requests/service_times.py
@@ -35,12 +35,12 @@
 
     @property
     def is_degraded(self):
-        """Whether all of the newest responses were slow."""
+        """Whether the newest `DEGRADED_ANSWERS` responses were all slow."""
         degraded_s = DEGRADED_RATIO * self.baseline_s
         return self.is_known and min(self.newest) > degraded_s
 
     def add(self, duration_s, now):
-        """Record one response.
+        """Record the duration of one response.
 
         A single slow response counts at most `DEGRADED_RATIO` times the
         baseline. Once several in a row are slow, they count in full, so that a
--- a/packages/decisions/anvilwell_decisions/requests/subsets.py
+++ b/packages/decisions/anvilwell_decisions/requests/subsets.py
@@ -102,7 +102,7 @@
         return xxhash.xxh3_64_intdigest(name), replica_id
 
     def _choose(self):
-        """Choose again, at a cost that depends on the subset's size only."""
+        """Choose the subset again, at a cost that depends on its size only."""
         before = set(itertools.chain(*self._chosen_by_domain.values()))
         quotas = self._quotas_by_domain()
         self._chosen_by_domain = {
@@ -135,7 +135,7 @@
 
 
 def _distribute(quotas, counts, domains, remaining):
-    """Raise `quotas` evenly by `remaining`; return what did not fit."""
+    """Raise the domains' `quotas` evenly by `remaining`; return the rest."""
     unfilled = [d for d in domains if quotas[d] < counts[d]]
     while remaining and unfilled:
         per_domain = max(1, remaining // len(unfilled))
--- a/packages/decisions/anvilwell_decisions/requests/trials.py
+++ b/packages/decisions/anvilwell_decisions/requests/trials.py
@@ -14,14 +14,14 @@
 
 
 class _Trial(typing.NamedTuple):
-    """A trial in progress and when it expires."""
+    """A trial of a suspect request, and when it expires."""
 
     trial_id: str
     until: float
 
 
 class Trials:
-    """The trials in progress. Times are in seconds of one clock."""
+    """The trials of suspect requests. Times are in seconds of one clock."""
 
     def __init__(self):
         self._trials_by_fingerprint = {}
--- a/packages/decisions/anvilwell_decisions/traffic/table.py
+++ b/packages/decisions/anvilwell_decisions/traffic/table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request and the service that takes it."""
+"""Finds the route of a request and the service that handles it."""
 
 import collections
 
