--- a/packages/client/anvilwell_client/commands/explain.py
+++ b/packages/client/anvilwell_client/commands/explain.py
@@ -1,4 +1,4 @@
-"""``anvilwell explain``: says what happened to a request."""
+"""``anvilwell explain``: shows what happened to a request."""
 
 import fileinput
 import os
@@ -6,8 +6,8 @@
 import pydantic
 
 from anvilwell_client import connection as connections
+from anvilwell_client import log_search
 from anvilwell_client import printer
-from anvilwell_client import stories
 from anvilwell_kernel import exceptions
 from anvilwell_kernel.messages import operators
 
@@ -17,7 +17,8 @@
 def explain(args, options):
     """Print the events of a request, oldest first.
 
-    They come from ``--log_file`` if that is given, else from an entry.
+    They are read from the files in ``--log_file`` if given, otherwise
+    requested from an entry.
     """
     if options.log_file:
         return _explain_from_logs(args[0], options)
@@ -25,41 +26,48 @@
     found = connection.get(
         connections.path("explain", args[0]), _EXPLANATION, is_local=True
     )
-    printer.show(options, found, _lines(found["events"]))
+    printer.show(options, found, _event_table(found["events"]))
     return os.EX_OK
 
 
 def _explain_from_logs(wanted, options):
     try:
         with fileinput.input(options.log_file) as texts:
-            lines, unreadable = stories.read(texts)
+            lines, unreadable = log_search.read(texts)
     except OSError as error:
         raise exceptions.BadRequest(f"can't read a log: {error}") from error
-    story = stories.tell(lines, wanted)
-    if not story:
+    selected = log_search.select(lines, wanted)
+    if not selected:
         raise exceptions.NotFound(
-            f"no line names {wanted}; {len(lines)} lines were read and"
-            f" {unreadable} are no log lines; routine lines are left out"
+            f"no log line names {wanted}; {len(lines)} lines were read and"
+            f" {unreadable} could not be parsed; routine lines are left out"
             " under load"
         )
-    printer.show(options, [line._asdict() for line in story], _table(story))
+    printer.show(
+        options, [line._asdict() for line in selected], _log_table(selected)
+    )
     return os.EX_OK
 
 
-def _table(story):
-    begun = story[0].at
+def _log_table(selected):
+    started_at = selected[0].at
     rows = [
-        (f"{line.at - begun:+.3f} s", line.vm, line.event, _pairs(line.fields))
-        for line in story
+        (
+            f"{line.at - started_at:+.3f} s",
+            line.vm,
+            line.event,
+            _pairs(line.fields),
+        )
+        for line in selected
     ]
     return printer.table(["after", "vm", "event", "fields"], rows)
 
 
-def _lines(events):
-    begun = events[0]["at"] if events else 0.0
+def _event_table(events):
+    started_at = events[0]["at"] if events else 0.0
     rows = [
         (
-            f"{event['at'] - begun:+.3f} s",
+            f"{event['at'] - started_at:+.3f} s",
             event["event"],
             _pairs(event["fields"]),
         )
--- a/packages/client/tests/test_stories.py
+++ b/packages/client/tests/test_log_search.py
@@ -1,8 +1,8 @@
-"""The story of an id, from the lines of several daemons."""
+"""Selecting the log lines of an id from the logs of several daemons."""
 
 import json
 
-from anvilwell_client import stories
+from anvilwell_client import log_search
 
 
 def _text(at, event, vm="e1", prefix="", **fields):
@@ -37,11 +37,11 @@
 
 
 def _events(wanted):
-    lines, _ = stories.read(TEXTS)
-    return [(line.event, line.at) for line in stories.tell(lines, wanted)]
+    lines, _ = log_search.read(TEXTS)
+    return [(line.event, line.at) for line in log_search.select(lines, wanted)]
 
 
-def test_an_item_s_story_has_its_runs_its_batch_and_what_was_believed():
+def test_lines_of_an_item_include_its_runs_batch_and_process_states():
     assert _events("i1") == [
         ("store-lost", 90.0),
         ("replica-gone", 91.0),
@@ -51,18 +51,18 @@
     ]
 
 
-def test_an_item_s_story_has_the_attempts_at_its_score():
+def test_lines_of_an_item_include_its_scoring_attempts():
     assert _events("i3") == [
         ("attempt-failed", 199.9),
         ("item-scoring", 200.0),
     ]
 
 
-def test_an_unknown_id_has_no_story():
+def test_unknown_id_has_no_lines():
     assert _events("nobody") == []
 
 
-def test_lines_that_are_none_are_counted():
-    lines, unreadable = stories.read(TEXTS)
+def test_lines_with_malformed_json_are_counted():
+    lines, unreadable = log_search.read(TEXTS)
 
     assert (len(lines), unreadable) == (14, 1)
