--- a/packages/client/anvilwell_client/__init__.py
+++ b/packages/client/anvilwell_client/__init__.py
@@ -1,1 +1,1 @@
-"""The operators client anvilwell."""
+"""The operators' command line client, ``anvilwell``."""
--- a/packages/client/anvilwell_client/__main__.py
+++ b/packages/client/anvilwell_client/__main__.py
@@ -1,11 +1,11 @@
-"""The binary ``anvilwell``."""
+"""Entry point of the ``anvilwell`` program."""
 
 from anvilwell_client import commands
 from anvilwell_kernel import commandline
 
 
 def main():
-    """Run the command that the process's arguments name."""
+    """Run the command given on the command line."""
     commandline.main(commands.PROGRAM)
 
 
--- a/packages/client/anvilwell_client/change.py
+++ b/packages/client/anvilwell_client/change.py
@@ -1,4 +1,4 @@
-"""Applies a document and finds out whether it is in force."""
+"""Applies a service document and determines whether it is in force."""
 
 import time
 import typing
@@ -14,12 +14,12 @@
 _APPLIED = pydantic.TypeAdapter(operators.Applied)
 _DOCUMENT = pydantic.TypeAdapter(operators.ServiceDocument)
 _HISTORY = pydantic.TypeAdapter(operators.History)
-# Waits after each attempt, in seconds.
+# Delay after each attempt, in seconds; one attempt is made per element.
 PAUSES_S = (0.2, 1.0, 3.0)
 
 
 class Change(typing.NamedTuple):
-    """A document to be put in force under an id of its own."""
+    """A service document to apply, with a unique change id."""
 
     change_id: str
     service: str
@@ -29,7 +29,7 @@
 
 
 def current(connection, service):
-    """Return the `operators.ServiceDocument` in force."""
+    """Return the `operators.ServiceDocument` that is in force."""
     return connection.get(connections.path("services", service), _DOCUMENT)
 
 
@@ -40,21 +40,21 @@
 
 
 class Applier:
-    """Applies one change and tells the truth about it.
+    """Applies one change and reports whether it is in force.
 
-    Repeating a change with the same id is harmless: an entry that
-    finds the id in the history answers as the first time.
+    A change can safely be sent again with the same id: an entry that
+    finds the id in the history repeats its first response.
 
     Parameters
     ----------
     connection : connection.Connection
-        Calls the entries.
+        Connection to the entries.
     change : Change
-        What to put in force.
+        Change to apply.
     may_have_run : bool
-        Whether it was sent before, with an unknown outcome.
+        Whether the change was sent before with an unknown outcome.
     pause : callable
-        Takes seconds to wait before the change is repeated.
+        Function that sleeps for the given seconds between attempts.
     """
 
     def __init__(
@@ -66,28 +66,33 @@
         self._pause = pause
 
     def apply(self):
-        """Return the `operators.Applied` of the change.
+        """Send the change until its outcome is certain.
 
-        The outcome is ``unknown`` only if neither repeating it nor the
-        history could settle it.
+        It is sent at most once for each of `PAUSES_S`.
+
+        Returns
+        -------
+        operators.Applied
+            Result of the change. Its outcome is ``unknown`` only if
+            neither the attempts nor the history showed the outcome.
 
         Raises
         ------
         exceptions.AnvilwellError
-            If no entry took the change: it is certainly not in force.
+            If no entry accepted the change, so it can't be in force.
         """
         for wait_s in PAUSES_S:
             applied = self._attempt()
             if applied and self._is_final(applied):
                 return applied
-            settled = self._from_history()
-            if settled:
-                return settled
+            result = self._from_history()
+            if result:
+                return result
             self._pause(wait_s)
-        return self._answer(operators.Outcome.UNKNOWN, 0)
+        return self._build_result(operators.Outcome.UNKNOWN, 0)
 
     def generation(self):
-        """Return the generation in force, 0 if no entry tells."""
+        """Return the generation in force, or 0 if no entry reports it."""
         try:
             return current(self._connection, self._change.service)[
                 "generation"
@@ -118,7 +123,7 @@
         if applied["outcome"] is operators.Outcome.UNKNOWN:
             self._may_have_run = True
         if applied["outcome"] is operators.Outcome.REFUSED:
-            # It says nothing of an earlier attempt that was lost.
+            # An earlier attempt whose response was lost may have succeeded.
             return not self._may_have_run
         return applied["outcome"] is operators.Outcome.IN_FORCE
 
@@ -129,22 +134,22 @@
             return None
         for change in changes:
             if change["change_id"] == self._change.change_id:
-                return self._answer(
+                return self._build_result(
                     operators.Outcome.IN_FORCE, change["generation"]
                 )
-        return self._overtaken(changes)
+        return self._generation_conflict(changes)
 
-    def _overtaken(self, changes):
-        """Return a refusal if another change took its generation."""
+    def _generation_conflict(self, changes):
+        """Return a refusal if another change has taken the generation."""
         wanted = self._change.expected_generation + 1
         if any(change["generation"] == wanted for change in changes):
             newest = max(change["generation"] for change in changes)
-            return self._answer(
+            return self._build_result(
                 operators.Outcome.REFUSED, newest, reasons.Refusal.CONFLICT
             )
         return None
 
-    def _answer(self, outcome, generation, reason=""):
+    def _build_result(self, outcome, generation, reason=""):
         return operators.Applied(
             outcome=outcome,
             generation=generation,
--- a/packages/client/anvilwell_client/connection.py
+++ b/packages/client/anvilwell_client/connection.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the first entry that answers."""
+"""HTTP calls to the first entry that responds."""
 
 import http
 import pathlib
@@ -18,16 +18,16 @@
 
 
 class Connection:
-    """Calls the operators' interface of several entries, in order.
+    """Calls the admin interface of several entries, in order.
 
     Parameters
     ----------
     entries : list of options.Address
-        Entries to try, each at most once for a call.
+        Entries to try, each at most once per call.
     timeout_s : float
-        Longest wait for one entry's answer.
+        Timeout for connecting to an entry, and for each read from it.
     token : str
-        Sent with each call; "" for none.
+        Bearer token sent with each call; "" for none.
     """
 
     def __init__(self, entries, timeout_s, token=""):
@@ -40,12 +40,12 @@
 
     @classmethod
     def from_options(cls, options):
-        """Return the connection that the command line asks for.
+        """Return a connection with the command line's options.
 
         Raises
         ------
         exceptions.BadRequest
-            If an address or the token file is wrong.
+            If an address is malformed or the token file is unreadable.
         """
         try:
             entries = [
@@ -55,45 +55,46 @@
             token = pathlib.Path(path).read_text().strip() if path else ""
         except (OSError, ValueError) as error:
             raise exceptions.BadRequest(
-                f"--entry ip:port or --token_file is wrong: {error}"
+                f"--entry ip:port or --token_file is invalid: {error}"
             ) from error
         return cls(entries, options.timeout_s, token)
 
     def get(self, path, adapter, *, is_local=False):
-        """Return the typed answer to a read; any entry may give it.
+        """Return the validated response to a GET request.
 
-        With `is_local` an entry that doesn't know the thing is passed
-        over: each entry knows only its own.
+        With `is_local`, a 404 response makes the call go on to the next
+        entry, because the resource is kept only by one entry, such as
+        the events of a request that it handled.
         """
         return self.send("GET", path, adapter, is_local=is_local)
 
     def send(
         self, method, path, adapter, *, query=None, body=None, is_local=False
     ):
-        """Return the typed answer of the first entry that gives one.
+        """Return the validated response of the first entry that succeeds.
 
-        A call that may have run is sent to no second entry unless it
+        A call that may have run is not sent to another entry unless it
         is a GET.
 
         Raises
         ------
         exceptions.AnvilwellError
-            The last entry's error, with its verdict.
+            The error of the last entry that was tried.
         """
         target = f"{path}?{parse.urlencode(query)}" if query else path
         refusal = None
         for entry in self._entries:
             try:
-                return self._ask(entry, method, target, adapter, body)
+                return self._request(entry, method, target, adapter, body)
             except exceptions.AnvilwellError as error:
                 refusal = error
-            if not _may_go_on(refusal, method, is_local):
+            if not _may_try_next(refusal, method, is_local):
                 break
         raise refusal
 
-    def _ask(self, entry, method, target, adapter, body):
+    def _request(self, entry, method, target, adapter, body):
         try:
-            answer = self._pool.request(
+            response = self._pool.request(
                 method,
                 f"http://{entry}{target}",
                 body=body,
@@ -104,10 +105,10 @@
         except urllib3.exceptions.ConnectTimeoutError as error:
             raise _unreachable(entry, error) from error
         except urllib3.exceptions.HTTPError as error:
-            raise _lost(entry, error) from error
-        if web.REASON in answer.headers and answer.status >= 400:
-            raise _refusal(entry, answer)
-        return _typed(entry, answer, adapter)
+            raise _link_lost(entry, error) from error
+        if web.REASON in response.headers and response.status >= 400:
+            raise _decode_refusal(entry, response)
+        return _decode(entry, response, adapter)
 
 
 def path(*names):
@@ -115,12 +116,12 @@
     return "/".join(["/admin", *(parse.quote(name, "") for name in names)])
 
 
-def _may_go_on(error, method, is_local):
-    """Return whether another entry may be asked, and may do better."""
+def _may_try_next(error, method, is_local):
+    """Return whether the next entry may be tried and could succeed."""
     is_safe = method == "GET" or error.verdict is verdicts.Verdict.NOT_RUN
-    is_passing = error.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
-    is_elsewhere = is_local and error.status == http.HTTPStatus.NOT_FOUND
-    return is_safe and (is_passing or is_elsewhere)
+    is_server_error = error.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
+    may_be_elsewhere = is_local and error.status == http.HTTPStatus.NOT_FOUND
+    return is_safe and (is_server_error or may_be_elsewhere)
 
 
 def _unreachable(entry, error):
@@ -130,23 +131,26 @@
     )
 
 
-def _lost(entry, error):
-    return exceptions.LinkLost(f"entry {entry} gave no whole answer: {error}")
+def _link_lost(entry, error):
+    return exceptions.LinkLost(
+        f"entry {entry} sent no complete response: {error}"
+    )
 
 
-def _typed(entry, answer, adapter):
+def _decode(entry, response, adapter):
     try:
-        return adapter.validate_json(answer.data)
+        return adapter.validate_json(response.data)
     except pydantic.ValidationError as error:
         raise exceptions.LinkLost(
-            f"entry {entry} gave an unexpected answer (HTTP {answer.status});"
-            f" is it an entry's admin address? {error}"
+            f"entry {entry} sent an unexpected response (HTTP"
+            f" {response.status}); check that --entry is an entry's admin"
+            f" address: {error}"
         ) from error
 
 
-def _refusal(entry, answer):
+def _decode_refusal(entry, response):
     try:
-        detail = _ERROR.validate_json(answer.data)["error"]
+        detail = _ERROR.validate_json(response.data)["error"]
         refusal = exceptions.Refused(
             f"entry {entry}: {detail['message']}",
             reason=reasons.Refusal(detail["reason"]),
@@ -154,6 +158,6 @@
             retry_after=detail["retry_after_s"],
         )
     except ValueError as error:
-        return _lost(entry, error)
-    refusal.status = answer.status
+        return _link_lost(entry, error)
+    refusal.status = response.status
     return refusal
--- a/packages/client/anvilwell_client/files.py
+++ b/packages/client/anvilwell_client/files.py
@@ -7,20 +7,20 @@
 from anvilwell_kernel import exceptions
 
 
-class File(typing.NamedTuple):
-    """A document's text and the service that it names."""
+class DocumentFile(typing.NamedTuple):
+    """The text of a service document and the service it defines."""
 
     service: str
     text: str
 
 
 def read(path):
-    """Return the checked `File` at `path`.
+    """Read and validate the service document at `path`.
 
     Raises
     ------
     exceptions.ConfigurationError
-        With every problem of the document.
+        If the document is invalid; lists every problem.
     exceptions.BadRequest
         If the file can't be read.
     """
@@ -28,4 +28,4 @@
         text = pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise exceptions.BadRequest(f"can't read {path}: {error}") from error
-    return File(documents.parse(text, path).service.name, text)
+    return DocumentFile(documents.parse(text, path).service.name, text)
--- a/packages/client/anvilwell_client/printer.py
+++ b/packages/client/anvilwell_client/printer.py
@@ -1,4 +1,4 @@
-"""Prints answers as text or JSON."""
+"""Prints results as text or JSON."""
 
 import enum
 import itertools
@@ -6,16 +6,16 @@
 
 
 class Format(enum.StrEnum):
-    """How answers are printed."""
+    """Output format."""
 
     TEXT = "text"
     JSON = "json"
 
 
-def show(options, answer, lines):
-    """Print `answer` as JSON or, for people, `lines`."""
+def show(options, result, lines):
+    """Print `result` as JSON or `lines` as text, by ``--output``."""
     if options.output == Format.JSON:
-        print(json.dumps(answer, indent=2))
+        print(json.dumps(result, indent=2))
     else:
         print("\n".join(lines))
 
@@ -33,12 +33,12 @@
 
 
 def rows_of(items, keys):
-    """Return one row for each dict in `items`, with its `keys`."""
+    """Return one row for each dict in `items`: its values of `keys`."""
     return [[item[key] for key in keys] for item in items]
 
 
 def listing(items, keys):
-    """Return a table of `items`, headed by `keys`."""
+    """Return the lines of a table of `items` with columns `keys`."""
     return table(list(keys), rows_of(items, keys)) if items else ["none"]
 
 
