--- a/packages/client/anvilwell_client/commands/__init__.py
+++ b/packages/client/anvilwell_client/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The commands of ``anvilwell``."""
+"""The commands and flags of ``anvilwell``."""
 
 from absl import flags
 
@@ -19,14 +19,14 @@
 flags.DEFINE_multi_string(
     "entry",
     ["127.0.0.1:8081"],
-    "Admin address (ip:port) of an entry; give several to try in order.",
+    "Admin address (ip:port) of an entry; repeated ones are tried in order.",
     flag_values=_FLAGS,
 )
 flags.DEFINE_enum(
     "output",
     printer.Format.TEXT.value,
     [one.value for one in printer.Format],
-    "How answers are printed.",
+    "Output format.",
     flag_values=_FLAGS,
 )
 flags.DEFINE_string(
@@ -38,27 +38,27 @@
 flags.DEFINE_float(
     "timeout_s",
     12.0,
-    "Longest wait for one entry's answer, in seconds.",
+    "Timeout for one entry's response, in seconds.",
     lower_bound=0.1,
     flag_values=_FLAGS,
 )
 flags.DEFINE_string(
     "token_file",
     None,
-    "File with the operators' token, if entries want one.",
+    "File with the operators' token, if the entries require one.",
     flag_values=_FLAGS,
 )
 flags.DEFINE_multi_string(
     "log_file",
     [],
-    "Log to read in place of asking an entry, - for standard input; give"
-    " several (explain).",
+    "Log file to read instead of calling an entry, - for standard input;"
+    " may be repeated (explain).",
     flag_values=_FLAGS,
 )
 flags.DEFINE_string(
     "change_id",
     None,
-    "Id of an earlier change of unknown outcome, to settle it (apply).",
+    "Id of an earlier change of unknown outcome, to repeat it (apply).",
     flag_values=_FLAGS,
 )
 flags.DEFINE_integer(
@@ -71,10 +71,10 @@
 )
 
 _INTEGERS_BY_FLAG = {
-    "entries": "Daemons before the replicas",
+    "entries": "Entry daemons",
     "replicas": "Replicas of model engines",
     "accelerators": "Accelerators of all replicas",
-    "trainers": "Training runs at a time",
+    "trainers": "Concurrent training runs",
     "samples_step": "Samples in a step of a run",
     "regions": "Regions",
     "failure_domains": "Failure domains",
@@ -84,11 +84,11 @@
 _FLOATS_BY_FLAG = {
     "requests_s": "Requests a second at the peak",
     "tokens_s": "Tokens generated a second at the peak",
-    "step_s": "Seconds within which a step is whole",
+    "step_s": "Seconds within which a step completes",
     "weights_s": "Seconds between weight versions",
-    "swap_s": "Seconds for weights to be everywhere",
+    "swap_s": "Seconds until new weights are everywhere",
     "changes_day": "Changes of configuration a day",
-    "spread_s": "Seconds for a change to be everywhere",
+    "spread_s": "Seconds until a change is everywhere",
     "failures_day": "VMs that fail a day",
     "replaced_day": "VMs restarted or replaced a day",
 }
@@ -115,7 +115,7 @@
 
 PROGRAM = commandline.Program(
     name="anvilwell",
-    about="Drives anvilwell: service documents, drains and explanations.",
+    about="Operates anvilwell: service documents, drains and diagnosis.",
     commands_by_name={
         "apply": commandline.Command(
             apply.apply, ("FILE",), "put a service document in force"
@@ -133,16 +133,18 @@
             status.status, (), "show the daemons and services"
         ),
         "drain": commandline.Command(
-            drain.drain, ("VM",), "have a VM take no new work"
+            drain.drain, ("VM",), "stop a VM from taking new work"
         ),
         "versions": commandline.Command(
             versions.versions, ("SERVICE",), "show the weight versions"
         ),
         "explain": commandline.Command(
-            explain.explain, ("REQUEST_ID",), "say what happened to a request"
+            explain.explain, ("REQUEST_ID",), "show what happened to a request"
         ),
         "capacity": commandline.Command(
-            capacity.capacity, (), "work out what a fleet of some size takes"
+            capacity.capacity,
+            (),
+            "calculate what a fleet of a given size needs",
         ),
     },
     flag_values=_FLAGS,
--- a/packages/client/anvilwell_client/commands/apply.py
+++ b/packages/client/anvilwell_client/commands/apply.py
@@ -1,4 +1,4 @@
-"""``anvilwell apply``: puts a document in force everywhere or nowhere."""
+"""``anvilwell apply``: puts a document in force on all daemons or none."""
 
 import getpass
 import os
@@ -33,7 +33,7 @@
 
 
 def apply(args, options):
-    """Apply the document in a file; return an exit code."""
+    """Apply the service document in a file and return an exit code."""
     (path,) = args
     file = files.read(path)
     connection = connections.Connection.from_options(options)
@@ -53,12 +53,12 @@
     applied = applier.apply()
     if applied["outcome"] is operators.Outcome.REFUSED:
         applied["generation"] = applier.generation()
-    _tell(applied, options, path, change)
+    _print_result(applied, options, path, change)
     return _EXIT_CODES_BY_OUTCOME[applied["outcome"]]
 
 
-def _tell(applied, options, path, change):
-    lines = [_verdict_line(applied)]
+def _print_result(applied, options, path, change):
+    lines = [_outcome_line(applied)]
     printer.show(options, applied, lines)
     for text in [*applied["problems"], *_missing(applied)]:
         commandline.print_message(text)
@@ -68,7 +68,7 @@
         )
     if applied["outcome"] is operators.Outcome.UNKNOWN:
         commandline.print_message(
-            "settle it when entries answer again: anvilwell apply"
+            "repeat the change when entries respond again: anvilwell apply"
             f" --change_id={change.change_id}"
             f" --expected_generation={change.expected_generation} {path}"
         )
@@ -83,7 +83,7 @@
     return [f"no answer from {vm_id}" for vm_id in applied["missing"]]
 
 
-def _verdict_line(applied):
+def _outcome_line(applied):
     if applied["outcome"] is operators.Outcome.IN_FORCE:
         return f"in force everywhere, generation {applied['generation']}"
     if applied["outcome"] is operators.Outcome.REFUSED:
--- a/packages/client/anvilwell_client/commands/capacity.py
+++ b/packages/client/anvilwell_client/commands/capacity.py
@@ -1,4 +1,4 @@
-"""``anvilwell capacity``: works out what a fleet takes."""
+"""``anvilwell capacity``: calculates what a fleet needs."""
 
 import os
 
@@ -12,20 +12,20 @@
 
 
 def capacity(args, options):
-    """Print the rows of the fleet in the flags; return an exit code."""
+    """Print the capacity rows of a fleet and return an exit code."""
     lines_by_name = data.lines_by_name(data.read())
     found = plan.rows(fleet(options), lines_by_name)
     table = printer.table(list(_HEADS), map(_cells, found))
     printer.show(
         options,
-        [_answer(row) for row in found],
+        [_json_row(row) for row in found],
         printer.paragraphs(table, _summary(found)),
     )
     return os.EX_OK
 
 
 def fleet(options):
-    """Return the `target.Fleet` that the flags describe."""
+    """Return the `target.Fleet` given by the flags."""
     given = {
         name: options[name].value
         for name in target.Fleet._fields
@@ -46,11 +46,11 @@
     )
 
 
-def _answer(row):
-    """Return `row` as JSON has it: what never breaks is null."""
-    endless = float("inf")
+def _json_row(row):
+    """Return `row` as a dict for JSON, with null for infinite values."""
+    infinity = float("inf")
     return {
-        name: None if value == endless else value
+        name: None if value == infinity else value
         for name, value in row._asdict().items()
     }
 
--- a/packages/client/anvilwell_client/commands/diff.py
+++ b/packages/client/anvilwell_client/commands/diff.py
@@ -12,7 +12,7 @@
 
 
 def diff(args, options):
-    """Print the differences; return 0 for none, 1 for some."""
+    """Print the differences; return 0 if there are none, else 1."""
     (path,) = args
     file = files.read(path)
     connection = connections.Connection.from_options(options)
--- a/packages/client/anvilwell_client/commands/drain.py
+++ b/packages/client/anvilwell_client/commands/drain.py
@@ -1,4 +1,4 @@
-"""``anvilwell drain``: has a VM take no new work."""
+"""``anvilwell drain``: stops a VM from taking new work."""
 
 import os
 
@@ -12,7 +12,7 @@
 
 
 def drain(args, options):
-    """Order the drain of a VM; return an exit code."""
+    """Start the drain of a VM and return an exit code."""
     connection = connections.Connection.from_options(options)
     found = connection.send(
         "POST", connections.path("drain", args[0]), _DRAINED
--- a/packages/client/anvilwell_client/commands/show.py
+++ b/packages/client/anvilwell_client/commands/show.py
@@ -8,7 +8,7 @@
 
 
 def show(args, options):
-    """Print a service's document; return an exit code."""
+    """Print a service's document and return an exit code."""
     connection = connections.Connection.from_options(options)
     document = changes.current(connection, args[0])
     head = f"; {document['service']}, generation {document['generation']}"
--- a/packages/client/anvilwell_client/commands/status.py
+++ b/packages/client/anvilwell_client/commands/status.py
@@ -21,7 +21,7 @@
 
 
 def status(args, options):
-    """Print what the first entry that answers knows of the fleet."""
+    """Print the fleet's status as the first responding entry reports it."""
     connection = connections.Connection.from_options(options)
     found = connection.get(connections.path("status"), _STATUS)
     unready = ", ".join(found["unready"])
--- a/packages/client/anvilwell_client/commands/versions.py
+++ b/packages/client/anvilwell_client/commands/versions.py
@@ -13,7 +13,7 @@
 
 
 def versions(args, options):
-    """Print the desired version and the replicas' own."""
+    """Print the desired version and the version of each replica."""
     connection = connections.Connection.from_options(options)
     found = connection.get(connections.path("versions", args[0]), _VERSIONS)
     lines = printer.paragraphs(
--- a/packages/client/tests/commands/test_apply.py
+++ b/packages/client/tests/commands/test_apply.py
@@ -1,4 +1,4 @@
-"""``apply``: it tells the truth, also when answers are lost."""
+"""``apply`` reports the right outcome, even if responses are lost."""
 
 import os
 
@@ -20,7 +20,9 @@
     assert capsys.readouterr().out == "in force everywhere, generation 1\n"
 
 
-def test_lost_answer_is_settled_by_the_history(entry, run, document, capsys):
+def test_lost_response_is_resolved_from_the_history(
+    entry, run, document, capsys
+):
     entry.script = ["lose after"]
 
     assert run("apply", document, entry.flag) == os.EX_OK
@@ -37,7 +39,7 @@
     assert len(entry.store.changes) == 1
 
 
-def test_unknown_only_if_it_cannot_be_known(entry, run, document, capsys):
+def test_unknown_after_all_attempts(entry, run, document, capsys):
     entry.script = ["unknown"] * len(changes.PAUSES_S)
 
     assert run("apply", document, entry.flag) == os.EX_TEMPFAIL
@@ -47,7 +49,7 @@
     assert "--expected_generation=0" in err
 
 
-def test_unknown_change_is_settled_by_its_id(entry, run, document):
+def test_unknown_change_is_resolved_by_its_id(entry, run, document):
     entry.store.put("mine", "text")
 
     code = run(
@@ -94,7 +96,7 @@
     assert "apply again when the daemons answer" in err
 
 
-def test_second_entry_is_asked(start_entry, run, document):
+def test_second_entry_is_tried(start_entry, run, document):
     first, second = start_entry(), start_entry()
     first.script = ["refuse"]
 
--- a/packages/client/tests/commands/test_capacity.py
+++ b/packages/client/tests/commands/test_capacity.py
@@ -24,13 +24,13 @@
     assert row["value"] == 20
 
 
-def test_a_small_fleet_in_one_region(capsys):
+def test_small_fleet_in_one_region(capsys):
     flags = ("--replicas=9", "--entries=3", "--regions=1", "--services=2")
 
     assert _rows(capsys, *flags)
 
 
-def test_text_ends_with_what_does_not_hold(capsys):
+def test_text_ends_with_the_failing_rows(capsys):
     assert _run() == os.EX_OK
     text = capsys.readouterr().out
 
--- a/packages/client/tests/commands/test_commands.py
+++ b/packages/client/tests/commands/test_commands.py
@@ -1,4 +1,4 @@
-"""The other commands: output, exit codes and what to do next."""
+"""Output, exit codes and advice of the other commands."""
 
 import json
 import os
@@ -35,7 +35,7 @@
     assert run("diff", document, entry.flag) == os.EX_OK
 
 
-def test_explain_asks_every_entry_and_says_what_to_do(
+def test_explain_tries_every_entry_and_prints_the_last_error(
     start_entry, run, capsys
 ):
     first, second = start_entry(), start_entry()
--- a/packages/client/tests/conftest.py
+++ b/packages/client/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small fake of an entry's operators' interface."""
+"""A fake of an entry's admin interface."""
 
 import contextlib
 import errno
@@ -13,11 +13,11 @@
 from anvilwell_kernel.messages import operators
 from anvilwell_kernel import web
 
-FINE = "fine"
+ACCEPT = "fine"
 
 
 class FakeStore:
-    """The documents that all entries of a test share."""
+    """Documents and history shared by all entries of a test."""
 
     def __init__(self):
         self.texts = [""]
@@ -36,7 +36,7 @@
 
 
 class FakeEntry:
-    """Serves a `FakeStore`; `script` says how each PUT goes wrong."""
+    """Serves a `FakeStore`; `script` lists the result of each PUT in turn."""
 
     def __init__(self, store):
         self.store = store
@@ -79,35 +79,39 @@
 
     def _put(self, request, service):
         self.puts.append(request.args["change_id"])
-        step = self.script.pop(0) if self.script else FINE
+        step = self.script.pop(0) if self.script else ACCEPT
         if step == "refuse":
             raise exceptions.Refused("no answer from key-value service")
         if step in ("lose before", "unknown"):
-            return self._cut() if step == "lose before" else self._say(step)
+            return (
+                self._break_response()
+                if step == "lose before"
+                else self._applied(step)
+            )
         if step == "members missing":
-            return self._say("refused", "members-missing", ["agent-3"])
+            return self._applied("refused", "members-missing", ["agent-3"])
         return self._accept(request, step)
 
     def _accept(self, request, step):
         wanted = int(request.args["expected_generation"])
         if wanted != len(self.store.changes):
-            return self._say("refused", "conflict")
+            return self._applied("refused", "conflict")
         text = request.get_data(as_text=True)
         self.store.put(
             request.args["change_id"], text, request.args["operator"]
         )
         if step == "lose after":
-            return self._cut()
-        return self._say("in-force")
+            return self._break_response()
+        return self._applied("in-force")
 
-    def _cut(self):
+    def _break_response(self):
         def chunks():
             yield b"{"
-            raise ConnectionResetError(errno.ECONNRESET, "cut by the test")
+            raise ConnectionResetError(errno.ECONNRESET, "closed by the test")
 
         return werkzeug.Response(chunks())
 
-    def _say(self, outcome, reason="", missing=()):
+    def _applied(self, outcome, reason="", missing=()):
         return web.json_response(
             operators.Applied(
                 outcome=outcome,
@@ -195,7 +199,7 @@
 
 @pytest.fixture
 def run():
-    """Return a function that runs a command line."""
+    """Return a function that runs ``anvilwell`` and returns its exit code."""
 
     def execute(*words):
         return commandline.execute(commands.PROGRAM, ["anvilwell", *words])
