--- a/packages/daemon/anvilwell_daemon/leases/__init__.py
+++ b/packages/daemon/anvilwell_daemon/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leaderships that this daemon holds under one key-value lease."""
+"""Elects leaders and keeps leaderships under one key-value lease."""
--- a/packages/daemon/anvilwell_daemon/leases/lease.py
+++ b/packages/daemon/anvilwell_daemon/leases/lease.py
@@ -1,4 +1,4 @@
-"""A leadership that this daemon won."""
+"""A leadership that this daemon holds until its lease expires."""
 
 import asyncio
 
@@ -6,16 +6,19 @@
 
 
 class Lease:
-    """Allows outward acts until its deadline.
+    """Permits actions outside this process while the leadership lasts.
+
+    The key-value lease behind it is shared by all leaderships of the
+    daemon.
 
     Parameters
     ----------
     tenure : leadership.Tenure
-        What was won.
+        The term of leadership that was won, with its fencing number.
     session : session.Session
         The daemon's key-value lease.
     clock : clock.Clock
-        Monotonic time that goes on while the VM is suspended.
+        Monotonic clock that keeps counting while the VM is suspended.
     """
 
     def __init__(self, tenure, session, clock):
@@ -28,11 +31,13 @@
 
     @property
     def is_valid(self):
-        """Whether an act would be allowed now."""
+        """Whether ``check`` would pass now."""
         return not self._lost.is_set() and self._session_allows()
 
     def check(self, now=None):
-        """Allow one outward act; call right before each.
+        """Check that the leadership still holds.
+
+        Call it right before each action outside this process.
 
         Parameters
         ----------
@@ -42,21 +47,22 @@
         Raises
         ------
         exceptions.Fenced
-            If the deadline less margin has passed: do not act.
+            If the lease expires within the safety margin or has
+            expired: the action must not be taken.
         """
         now = self._clock.monotonic() if now is None else now
         leadership.check_tenure(self._tenure, self._session, now)
 
     async def lost(self):
-        """Return once the leadership is lost for good."""
+        """Return once the leadership is lost permanently."""
         await self._lost.wait()
 
     def is_under(self, lease):
-        """Return whether it hangs on the key-value lease `lease`."""
+        """Return whether it was won under the key-value lease `lease`."""
         return self._tenure.lease == lease
 
     def end(self):
-        """Note that the leadership is lost for good."""
+        """Mark the leadership as permanently lost."""
         self._lost.set()
 
     def _session_allows(self):
--- a/packages/daemon/anvilwell_daemon/leases/service.py
+++ b/packages/daemon/anvilwell_daemon/leases/service.py
@@ -1,4 +1,4 @@
-"""The service ``leases``: leaderships with fencing numbers."""
+"""The service ``leases``: leader election with fencing numbers."""
 
 import asyncio
 import random
@@ -25,10 +25,11 @@
 
 
 class Leases(services.Service):
-    """Stands for leaderships and keeps those that were won.
+    """Runs for leaderships and keeps those that this daemon has won.
 
-    All share one key-value lease, renewed only while one is held, so
-    writes grow with the daemons that lead and not with leaderships.
+    All leaderships share one key-value lease, which is renewed only
+    while at least one is held. The write load therefore grows with the
+    number of leading daemons, not with the number of leaderships.
     """
 
     name = "leases"
@@ -52,17 +53,17 @@
         return cls(settings.daemon.vm_id)
 
     async def start(self, kernel):
-        """Begin to renew."""
+        """Start the task that renews the key-value lease."""
         self._keyvalue = kernel.get("keyvalue")
         self._renewal = asyncio.create_task(self._renew())
 
     async def drain(self):
-        """Give up all leaderships, so that others need not wait."""
+        """Release all leaderships, so that others need not wait."""
         held = list(self._leases_by_name.values())
         await asyncio.gather(*(self.release(lease) for lease in held))
 
     async def stop(self):
-        """Stop renewing; what is still held lapses."""
+        """Stop renewing; leaderships that are still held expire."""
         if self._renewal:
             self._renewal.cancel()
             await asyncio.gather(self._renewal, return_exceptions=True)
@@ -72,19 +73,21 @@
     async def hold(self, name):
         """Wait until this daemon leads `name`; return a ``Lease``.
 
-        Waits through outages of the key-value service. Cancel it to
-        stand down.
+        Keeps trying through outages of the key-value service. Cancel
+        the call to withdraw the candidacy.
 
         Raises
         ------
         exceptions.Conflict
-            If this daemon holds `name` or stands for it already.
+            If this daemon already holds `name` or is a candidate.
         """
         if name in self._wanted or name in self._leases_by_name:
-            raise exceptions.Conflict(f"this daemon already stands for {name}")
+            raise exceptions.Conflict(
+                f"this daemon already holds or is a candidate for {name}"
+            )
         self._wanted.add(name)
         try:
-            tenure = await self._win(name)
+            tenure = await self._campaign(name)
         finally:
             self._wanted.discard(name)
         lease = leases.Lease(tenure, self._session, self._clock)
@@ -93,7 +96,7 @@
         return lease
 
     async def release(self, lease):
-        """Give up `lease`; a later ``hold`` stands anew."""
+        """Release `lease`; call ``hold`` to win the leadership again."""
         lease.end()
         if self._leases_by_name.get(lease.name) is not lease:
             return
@@ -103,18 +106,21 @@
             self._leases_by_name.pop(lease.name, None)
 
     async def highest(self, name):
-        """Return the highest fencing number ever given for `name`.
+        """Return the highest fencing number ever issued for `name`.
 
         Raises
         ------
         exceptions.KeyValueUnavailable
-            If the service gave no answer.
+            If the key-value service did not answer.
         """
         snapshot = await self._read(name)
         return leadership.read_fencing(snapshot.entries_by_key, name)
 
     def refused(self, name, highest):
-        """Note that a door knows a number above that of `name`."""
+        """Record that a fencing gate has seen the number `highest`.
+
+        The next takeover of `name` uses a number above it.
+        """
         self._leadership(name).record_higher(highest)
 
     def _leadership(self, name):
@@ -122,11 +128,11 @@
             name, leadership.Leadership(name, self._vm_id)
         )
 
-    async def _win(self, name):
+    async def _campaign(self, name):
         retry_s = FIRST_RETRY_S
         while True:
             try:
-                tenure = await self._try(name)
+                tenure = await self._try_take_over(name)
                 pause_s = self._session.ttl_s * WATCH_SHARE
                 retry_s = FIRST_RETRY_S
             except exceptions.KeyValueUnavailable as error:
@@ -138,8 +144,8 @@
                 return tenure
             await asyncio.sleep(pause_s * self._rng.uniform(0.8, 1.2))
 
-    async def _try(self, name):
-        """Read, take it over if it is free; return a tenure or None."""
+    async def _try_take_over(self, name):
+        """Take over `name` if it is free; return the tenure or None."""
         candidate = self._leadership(name)
         snapshot = await self._read(name)
         found = snapshot.entries_by_key
--- a/packages/daemon/tests/leases/test_service.py
+++ b/packages/daemon/tests/leases/test_service.py
@@ -1,4 +1,7 @@
-"""Leases over the key-value stand-in: pauses, outages, lost answers."""
+"""Leadership through pauses, store outages and lost responses.
+
+The service runs against the key-value stand-in and a manual clock.
+"""
 
 import asyncio
 import contextlib
@@ -30,7 +33,7 @@
 
 
 class Gate:
-    """Passes calls on to the store unless it is shut."""
+    """Forwards calls to the store; fails them while it is shut."""
 
     def __init__(self, store):
         self.is_shut = False
@@ -38,12 +41,12 @@
 
     def __getattr__(self, name):
         if self.is_shut:
-            raise exceptions.KeyValueUnavailable("no way to the store")
+            raise exceptions.KeyValueUnavailable("the store is unreachable")
         return getattr(self._store, name)
 
 
 class World:
-    """One store, its clock, and the daemons that call it."""
+    """A store stand-in, its clock and the daemons that call it."""
 
     def __init__(self, stack):
         self.clock = clocks.ManualClock()
@@ -61,14 +64,16 @@
         return leases, gate
 
     async def agent(self, engine):
-        """Return the agent's order service and its gate to the store."""
+        """Start an agent; return its order service and its store gate."""
         leases, gate = await self.candidate("agent")
-        door = listener.Listener("127.0.0.1", 0)
-        peers = peers_service.Peers("agent", door)
+        peer_listener = listener.Listener("127.0.0.1", 0)
+        peers = peers_service.Peers("agent", peer_listener)
         orders = engine_orders.EngineOrders(
             "agent", "lm", engine, clock=self.clock, confirm_timeout_s=0.0
         )
-        kernel = services.Kernel([door, peers, Started(leases), orders])
+        kernel = services.Kernel(
+            [peer_listener, peers, Started(leases), orders]
+        )
         await self.start(kernel)
         return orders, gate
 
@@ -89,7 +94,7 @@
 
 
 class Started(services.Service):
-    """Stands for a service that runs already."""
+    """Offers a service of another kernel that is already running."""
 
     name = "leases"
 
@@ -110,10 +115,10 @@
     return messages.Order("lm", kind, version, 1, fencing, number)
 
 
-async def carry_out(agent, told):
+async def carry_out(agent, sent):
     done = asyncio.Event()
     agent.subscribe(done.set)
-    answer = await agent.take("leader", told)
+    answer = await agent.take("leader", sent)
     await done.wait()
     return answer
 
@@ -128,7 +133,7 @@
     run(work)
 
 
-def test_holder_cut_off_stops_and_another_takes_over_with_a_higher_number():
+def test_isolated_holder_stops_and_another_takes_over_with_a_higher_number():
     async def work(world):
         first, gate = await world.candidate("vm0")
         second, _ = await world.candidate("vm1")
@@ -148,7 +153,7 @@
     run(work)
 
 
-def test_holder_goes_on_after_an_outage_that_its_lease_survived():
+def test_holder_continues_after_an_outage_shorter_than_its_lease():
     async def work(world):
         leases, gate = await world.candidate("vm0")
         lease = await leases.hold(NAME)
@@ -164,7 +169,7 @@
     run(work)
 
 
-def test_take_over_whose_answer_was_lost_is_read_back():
+def test_takeover_with_a_lost_response_is_read_back():
     async def work(world):
         lost = faults.Fault("lost-after-effect", match="kv/txn")
         world.standin.faults.add(lost)
@@ -188,7 +193,7 @@
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
-def test_paused_holder_harms_no_engine_of_either_kind(checks_fencing):
+def test_paused_holder_cannot_change_an_engine(checks_fencing):
     async def work(world):
         engine, held = world.engine(checks_fencing)
         first, gate = await world.candidate("vm0")
@@ -202,7 +207,7 @@
         await carry_out(agent, order(load, "3", 1, new.fencing))
         await carry_out(agent, order(activate, "3", 2, new.fencing))
         assert held.active == "3"
-        # The old holder was paused between its check and this order.
+        # The old holder checked its lease, was paused, and then sent this.
         late = order(load, "2", 9, old.fencing)
         assert await agent.take("vm0", late) == messages.Refusal("agent", 2)
         assert held.loaded == ["1", "3"]
@@ -211,7 +216,7 @@
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
-def test_restarted_agent_takes_no_order_until_it_knows_the_highest(
+def test_restarted_agent_refuses_orders_until_it_has_read_the_highest(
     checks_fencing,
 ):
     async def work(world):
