--- a/packages/daemon/anvilwell_daemon/claims/answers.py
+++ b/packages/daemon/anvilwell_daemon/claims/answers.py
@@ -1,4 +1,4 @@
-"""Answers to claimed calls: recorded, replayed, and never cut short."""
+"""Responses to calls with an idempotency key: recorded or replayed."""
 
 import itertools
 
@@ -12,17 +12,17 @@
 
 
 class RecordedAnswer:
-    """A dispatcher's answer whose end is told to the claims.
+    """A backend server's response whose outcome is recorded.
 
-    A short answer is read to its end at once, so that its outcome is
-    recorded whether or not its caller still listens.
+    A short response is read to its end at once, so that its outcome is
+    recorded even if the caller disconnects.
 
     Parameters
     ----------
     answer : dispatcher.Answer
-        What the backend server says.
+        The response of the backend server.
     settle : callable
-        ``settle(verdict, outcome)``, called once.
+        ``settle(verdict, outcome)``, called once when the response ends.
     """
 
     def __init__(self, answer, settle):
@@ -37,12 +37,12 @@
 
     @property
     def finish(self):
-        """Why a model's stream ended, once it has."""
+        """The reason why a model's stream ended; None until it has."""
         return self._answer.finish
 
     @property
     def replica_id(self):
-        """The replica of the last attempt."""
+        """The id of the replica that ran the last attempt."""
         return self._answer.replica_id
 
     def __iter__(self):
@@ -52,7 +52,7 @@
         return next(self._pieces)
 
     def close(self):
-        """Give up what is under way; its outcome stays unknown."""
+        """Abort the call; if it has not ended, its outcome is unknown."""
         self._answer.close()
         self._end(verdicts.Verdict.MAY_HAVE_RUN)
 
@@ -93,7 +93,7 @@
 
 
 class ReplayedAnswer:
-    """The recorded outcome of a key, given again."""
+    """The recorded outcome of an idempotency key, sent again."""
 
     finish = None
     replica_id = ""
@@ -109,7 +109,7 @@
         return self._pieces
 
     def close(self):
-        """Nothing is under way."""
+        """Do nothing: no call is in progress."""
 
 
 def _content_type(headers):
--- a/packages/daemon/anvilwell_daemon/claims/service.py
+++ b/packages/daemon/anvilwell_daemon/claims/service.py
@@ -30,7 +30,7 @@
         "this idempotency key was used for another request"
     ),
     reasons.Refusal.KEY_IN_PROGRESS: (
-        "a request with this idempotency key is under way"
+        "a request with this idempotency key is in progress"
     ),
     reasons.Refusal.OUTCOME_UNKNOWN: (
         "a request with this idempotency key may have run; it will not be"
@@ -39,12 +39,12 @@
     reasons.Refusal.KEY_VALUE_UNAVAILABLE: (
         "the claim could not be recorded; the request was not run"
     ),
-    reasons.Refusal.DEADLINE: "the claim was recorded too late",
+    reasons.Refusal.DEADLINE: "the claim was recorded after its time limit",
 }
 
 
 class OutcomeBody(typing.TypedDict):
-    """What a caller is told of its key."""
+    """The state of an idempotency key, as JSON for its caller."""
 
     key: str
     service: str
@@ -58,11 +58,11 @@
     Parameters
     ----------
     vm_id : str
-        This entry.
+        The id of this entry.
     clock : clock.Clock
         Source of time.
     retention_s : float
-        Time that a key is remembered at least, in seconds.
+        Minimum time for which a key is stored, in seconds.
     """
 
     name = "claims"
@@ -80,7 +80,7 @@
         self._loop = None
 
     async def start(self, kernel):
-        """Find the services it works with and register the route."""
+        """Look up the required services and register the route."""
         self._loop = asyncio.get_running_loop()
         self._dispatcher = kernel.get("dispatcher")
         self._store = stores.ClaimStore(
@@ -96,13 +96,13 @@
         self._spawn(self._tick())
 
     async def drain(self):
-        """Wait a while for outcomes to be recorded."""
+        """Wait up to ``DRAIN_S`` seconds for outcomes to be recorded."""
         until = self._now() + DRAIN_S
         while not self._tracker.is_settled and self._now() < until:
             await asyncio.sleep(TICK_S)
 
     async def stop(self):
-        """Refuse what waits; nothing of it was forwarded."""
+        """Refuse waiting calls; none of them has been forwarded."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -116,15 +116,16 @@
             )
 
     def open(self, call):
-        """Return the answer to a non-idempotent `call`; blocks.
+        """Forward a non-idempotent `call` and return its response.
 
-        Without a key the call is forwarded as it is: it runs at most
-        once, but a repeat of its caller is a new request.
+        Blocks. A call without a key is forwarded without a claim: it
+        runs at most once, but the caller's retry is a new request.
 
         Raises
         ------
         exceptions.AnvilwellError
-            With the verdict of the key, not only of this request.
+            Its verdict covers every request with this key, not only
+            this one.
         """
         if not call.key:
             return self._dispatcher.open(call)
@@ -155,7 +156,9 @@
         return answers.RecordedAnswer(answer, settle)
 
     def _check_time(self, forward_by):
-        # A pause must not outlast the record: long before, it is late.
+        # The process may have been paused. The deadline is far shorter
+        # than the retention of the record, so a call that is forwarded
+        # before its deadline is still covered by its claim.
         if self._now() >= forward_by:
             raise exceptions.Timeout(
                 "the deadline passed before the call was forwarded",
@@ -225,7 +228,9 @@
     def _show_outcome(self, request, key):
         service = request.args.get("service", "")
         if not service:
-            raise exceptions.BadRequest("name the service: ?service=NAME")
+            raise exceptions.BadRequest(
+                "the query parameter is missing: ?service=NAME"
+            )
         team = request.headers.get(TEAM, "")
         reading = self.outcome(service, team, key)
         record = asyncio.run_coroutine_threadsafe(reading, self._loop).result()
@@ -249,14 +254,14 @@
         return answers.ReplayedAnswer(outcome)
     raise exceptions.Conflict(
         f"this request ran and was answered with status {outcome.status};"
-        " its answer was too long to be kept",
+        " its response was too long to be recorded",
         reason=reasons.Refusal.ALREADY_RAN,
         verdict=verdicts.Verdict.RAN,
     )
 
 
 def _refusal(reject):
-    message = _TEXTS_BY_REASON.get(reject.reason, "the entry is leaving")
+    message = _TEXTS_BY_REASON.get(reject.reason, "the entry is draining")
     is_final = reject.reason in (
         reasons.Refusal.CONFLICT,
         reasons.Refusal.OUTCOME_UNKNOWN,
--- a/packages/daemon/anvilwell_daemon/claims/store.py
+++ b/packages/daemon/anvilwell_daemon/claims/store.py
@@ -1,4 +1,4 @@
-"""Claims in the platform's key-value service."""
+"""Stores claims in the platform's key-value service."""
 
 from anvilwell_decisions.requests import claims
 from anvilwell_decisions.requests import records
@@ -15,20 +15,21 @@
 
 
 class ClaimStore:
-    """Writes batches of claims; the store itself drops old records.
+    """Reads and writes claims, which expire in the store.
 
-    Records hang on a lease that is never renewed. A new lease is taken
-    every epoch, so that a record lives for the retention at least and
-    for one epoch more at most, and no clocks are compared.
+    Records are attached to a lease that is never renewed. A new lease
+    is granted every ``LEASE_EPOCH_S`` seconds, so a record lasts for
+    the retention time and at most one epoch longer. No clocks of
+    different machines are compared.
 
     Parameters
     ----------
     keyvalue : facade.KeyValueFacade
-        The store.
+        The key-value service.
     clock : clock.Clock
         Source of time.
     retention_s : float
-        Time that a record is kept at least, in seconds.
+        Minimum time for which a record is kept, in seconds.
     """
 
     def __init__(self, keyvalue, clock, retention_s=RETENTION_S):
@@ -39,7 +40,7 @@
         self._lease_until = 0.0
 
     async def write(self, swaps):
-        """Write all `swaps` or none.
+        """Apply all `swaps` or none.
 
         Returns
         -------
@@ -54,7 +55,8 @@
             )
             return _from_port(result)
         except exceptions.AnvilwellError as error:
-            # A lease that the store does not know fails every write.
+            # If the store has lost the lease, every write under it fails:
+            # the next write is made under a new one.
             self._lease_until = 0.0
             _LOG.log("write-lost", swaps=len(swaps), cause=error.message)
             return claims.WriteUnknown()
@@ -71,13 +73,13 @@
         return _CODEC.decode(entry.value) if entry else None
 
     async def _current_lease(self):
-        asked_at = self._clock.monotonic()
-        if asked_at >= self._lease_until:
+        requested_at = self._clock.monotonic()
+        if requested_at >= self._lease_until:
             self._lease = await self._keyvalue.grant(
                 self._retention_s + LEASE_EPOCH_S,
                 purpose=port.Purpose.CLAIM,
             )
-            self._lease_until = asked_at + LEASE_EPOCH_S
+            self._lease_until = requested_at + LEASE_EPOCH_S
         return self._lease
 
 
--- a/packages/daemon/tests/claims/test_service.py
+++ b/packages/daemon/tests/claims/test_service.py
@@ -1,4 +1,4 @@
-"""The service ``claims`` over a store that fails in its own ways."""
+"""The service ``claims`` with store outages and lost responses."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 
 class FakeStore(services.Service):
-    """The facade's calls on a dict; ``faults`` are used in turn."""
+    """Key-value facade on a dict; each write consumes one of ``faults``."""
 
     name = "keyvalue"
 
@@ -52,15 +52,15 @@
 
     def _apply(self, swaps):
         self.writes += 1
-        there = {
+        found = {
             s.key: self.entries_by_key[s.key]
             for s in swaps
             if s.key in self.entries_by_key
         }
         for swap in swaps:
-            entry = there.get(swap.key)
+            entry = found.get(swap.key)
             if (entry.revision if entry else 0) != swap.expected:
-                return port.SwapResult(False, self.revision, there)
+                return port.SwapResult(False, self.revision, found)
         self.revision += 1
         for swap in swaps:
             self.entries_by_key.pop(swap.key, None)
@@ -72,7 +72,7 @@
 
 
 class FakeAnswer:
-    """A backend server's answer; ``error`` cuts it."""
+    """A backend server's response; ``error`` is raised after the body."""
 
     finish = None
     replica_id = "r1"
@@ -93,7 +93,7 @@
 
 
 class FakeDispatcher(services.Service):
-    """Counts executions; ``script`` holds answers and errors."""
+    """Records executed requests; ``script`` holds responses and errors."""
 
     name = "dispatcher"
 
@@ -119,7 +119,7 @@
 
 
 class World:
-    """One store and backend server before any number of entries."""
+    """Entries that share one store and one backend server."""
 
     def __init__(self):
         self.store = FakeStore()
@@ -135,7 +135,7 @@
         self.entries.append(service)
         return service
 
-    async def ask(self, entry, key="k", body=b"notice", **fields):
+    async def call(self, entry, key="k", body=b"notice", **fields):
         request_id = f"q{next(self._numbers)}"
         call = calls.Call(
             request_id, "stops", body, 5.0, path="/notices", key=key
@@ -168,10 +168,10 @@
 def test_a_repeat_at_another_entry_gets_the_same_answer():
     async def work(world):
         first, second = await world.entry(), await world.entry()
-        answer, body = await world.ask(first)
+        answer, body = await world.call(first)
         assert (answer.status, body) == (201, b"sent")
         await first.drain()
-        answer, body = await world.ask(second)
+        answer, body = await world.call(second)
         assert (answer.status, body) == (201, b"sent")
         assert ("Anvilwell-Replayed", "true") in answer.headers
         assert world.dispatcher.ran == ["q0"]
@@ -182,37 +182,37 @@
 def test_without_a_key_every_request_is_a_new_one():
     async def work(world):
         entry = await world.entry()
-        await world.ask(entry, key="")
-        await world.ask(entry, key="")
+        await world.call(entry, key="")
+        await world.call(entry, key="")
         assert len(world.dispatcher.ran) == 2
         assert world.store.writes == 0
 
     run(work)
 
 
-def test_a_lost_answer_of_the_store_runs_once():
+def test_a_lost_response_of_the_store_runs_once():
     async def work(world):
         entry = await world.entry()
         world.store.faults = ["answer lost"]
-        await world.ask(entry)
+        await world.call(entry)
         assert world.dispatcher.ran == ["q0"]
 
     run(work)
 
 
-def test_an_outage_is_not_run_and_the_key_is_free_afterwards():
+def test_an_outage_runs_nothing_and_the_key_is_free_afterwards():
     async def work(world):
         entry = await world.entry()
         world.store.faults = ["answer lost"] + ["down"] * 1000
         with refused(reasons.Refusal.KEY_VALUE_UNAVAILABLE, NOT_RUN):
-            await world.ask(entry, deadline_s=0.5)
+            await world.call(entry, deadline_s=0.5)
         assert world.dispatcher.ran == []
         world.store.faults = []
         await entry.drain()
         other = await world.entry()
         while world.store.entries_by_key:
             await asyncio.sleep(0.01)
-        await world.ask(other)
+        await world.call(other)
         assert len(world.dispatcher.ran) == 1
 
     run(work)
@@ -223,10 +223,10 @@
         entry = await world.entry()
         world.dispatcher.script = [exceptions.Refused("full")]
         with refused(reasons.Refusal.OVERLOADED, NOT_RUN):
-            await world.ask(entry)
+            await world.call(entry)
         await entry.drain()
         assert world.store.entries_by_key == {}
-        await world.ask(entry)
+        await world.call(entry)
         assert world.dispatcher.ran == ["q1"]
 
     run(work)
@@ -244,12 +244,12 @@
         entry = await world.entry()
         world.dispatcher.script = [step]
         with pytest.raises(exceptions.AnvilwellError) as caught:
-            await world.ask(entry)
+            await world.call(entry)
         assert caught.value.verdict is MAY
         await entry.drain()
         other = await world.entry()
         with refused(reasons.Refusal.OUTCOME_UNKNOWN, MAY):
-            await world.ask(other)
+            await world.call(other)
         assert world.dispatcher.ran == ["q0"]
 
     run(work)
@@ -259,10 +259,10 @@
     async def work(world):
         entry = await world.entry()
         entry._settle_soon = lambda *_: None
-        await world.ask(entry)
+        await world.call(entry)
         other = await world.entry()
         with refused(reasons.Refusal.OUTCOME_UNKNOWN, MAY):
-            await world.ask(other)
+            await world.call(other)
         assert world.dispatcher.ran == ["q0"]
 
     run(work)
@@ -271,9 +271,9 @@
 def test_one_key_for_another_request_is_a_conflict():
     async def work(world):
         entry = await world.entry()
-        await world.ask(entry)
+        await world.call(entry)
         with refused(reasons.Refusal.CONFLICT, NOT_RUN):
-            await world.ask(entry, body=b"another notice")
+            await world.call(entry, body=b"another notice")
 
     run(work)
 
@@ -281,23 +281,23 @@
 def test_teams_do_not_see_each_others_keys():
     async def work(world):
         entry = await world.entry()
-        await world.ask(entry, team="a")
-        answer, _ = await world.ask(entry, team="b")
+        await world.call(entry, team="a")
+        answer, _ = await world.call(entry, team="b")
         assert len(world.dispatcher.ran) == 2
         assert answer.headers == [("Content-Type", "text/plain")]
 
     run(work)
 
 
-def test_a_long_answer_is_whole_but_not_kept():
+def test_a_long_response_is_complete_but_not_recorded():
     async def work(world):
         entry = await world.entry()
         world.dispatcher.script = [FakeAnswer(body=b"x" * 10000)]
-        _, body = await world.ask(entry)
+        _, body = await world.call(entry)
         assert len(body) == 10000
         await entry.drain()
         with refused(reasons.Refusal.ALREADY_RAN, RAN):
-            await world.ask(entry)
+            await world.call(entry)
 
     run(work)
 
@@ -305,8 +305,8 @@
 def test_many_requests_at_once_with_one_key_run_once():
     async def work(world):
         entries = [await world.entry() for _ in range(3)]
-        asked = [world.ask(entries[n % 3]) for n in range(12)]
-        results = await asyncio.gather(*asked, return_exceptions=True)
+        calls_made = [world.call(entries[n % 3]) for n in range(12)]
+        results = await asyncio.gather(*calls_made, return_exceptions=True)
         assert len(world.dispatcher.ran) == 1
         failed = [r for r in results if isinstance(r, Exception)]
         assert {e.verdict for e in failed} <= {MAY}
@@ -314,11 +314,11 @@
     run(work)
 
 
-def test_records_hang_on_a_lease_of_the_retention():
+def test_records_expire_with_a_lease_of_the_retention():
     async def work(world):
         entry = await world.entry()
-        await world.ask(entry)
-        await world.ask(entry, key="k2")
+        await world.call(entry)
+        await world.call(entry, key="k2")
         assert world.store.leases == [25 * 3600.0]
         leases = {e.lease for e in world.store.entries_by_key.values()}
         assert leases == {1}
@@ -329,7 +329,7 @@
 def test_the_caller_can_ask_for_the_outcome():
     async def work(world):
         entry = await world.entry()
-        await world.ask(entry)
+        await world.call(entry)
         await entry.drain()
         seen = [await _outcome(world, key) for key in ("k", "other")]
         assert [(s["state"], s["status"]) for s in seen] == [
