--- a/packages/daemon/anvilwell_daemon/keyvalue/__init__.py
+++ b/packages/daemon/anvilwell_daemon/keyvalue/__init__.py
@@ -1,1 +1,1 @@
-"""The key-value service as the daemon's event loop sees it."""
+"""Access to the key-value service from the daemon's event loop."""
--- a/packages/daemon/anvilwell_daemon/keyvalue/facade.py
+++ b/packages/daemon/anvilwell_daemon/keyvalue/facade.py
@@ -14,16 +14,17 @@
 
 
 class KeyValueFacade(services.Service):
-    """The port's calls as coroutines, each on a thread and metered.
+    """Runs the port's blocking calls on threads and counts them.
 
     Parameters
     ----------
     port : anvilwell_outside.ports.keyvalue.KeyValue
-        The store.
+        The adapter of the key-value service.
     timeout_s : float
-        Deadline of calls that name none.
+        Timeout of calls that are made without one.
     threads : int
-        Calls under way at a time; more wait for a thread.
+        Maximum number of concurrent calls; further calls wait for a
+        thread. Watches run on threads of their own.
     """
 
     name = "keyvalue"
@@ -37,7 +38,7 @@
         self._watches = set()
 
     async def stop(self):
-        """Let go of the watches and the threads."""
+        """Close the watches and shut down the threads."""
         for watch in list(self._watches):
             watch.close()
         self._threads.shutdown(wait=False, cancel_futures=True)
@@ -54,7 +55,7 @@
     async def swap(self, swaps, *, purpose, timeout_s=None):
         """Apply all `swaps` or none, and return a ``SwapResult``.
 
-        `swaps` may hold the port's ``Guard``s too.
+        `swaps` may also contain ``Guard`` objects of the port.
         """
         return await self._write(self._port.swap, swaps, purpose, timeout_s)
 
@@ -63,7 +64,7 @@
         return await self._write(self._port.grant, ttl_s, purpose, timeout_s)
 
     async def keep_alive(self, lease, *, purpose, timeout_s=None):
-        """Renew `lease`; return seconds granted, 0 if it has lapsed."""
+        """Renew `lease`; return the seconds granted, 0 if it expired."""
         call = self._port.keep_alive
         return await self._write(call, lease, purpose, timeout_s)
 
@@ -72,10 +73,10 @@
         return await self._write(self._port.revoke, lease, purpose, timeout_s)
 
     async def watch(self, prefix, from_revision, *, purpose, timeout_s):
-        """Yield each change under `prefix`; end on `timeout_s` idle.
+        """Yield changes under `prefix` until none comes for `timeout_s`.
 
-        When the consumer leaves or the facade stops, the watch ends at
-        the service too.
+        When the consumer stops iterating or the facade stops, the
+        watch is also closed at the key-value service.
         """
         blocking = functools.partial(
             self._port.watch,
--- a/packages/daemon/anvilwell_daemon/keyvalue/meter.py
+++ b/packages/daemon/anvilwell_daemon/keyvalue/meter.py
@@ -18,7 +18,7 @@
 
 
 class Access(enum.StrEnum):
-    """How a call counts against the service's rates."""
+    """The kind of access, used as a metric label."""
 
     READ = "read"
     WRITE = "write"
@@ -26,18 +26,18 @@
 
 
 class Outcome(enum.StrEnum):
-    """How a call ended."""
+    """Whether the service answered, used as a metric label."""
 
     ANSWERED = "answered"
     UNAVAILABLE = "unavailable"
 
 
 def count_call(purpose, access, outcome):
-    """Count one call."""
+    """Count one call of the key-value service."""
     labels = {"purpose": purpose, "access": access, "outcome": outcome}
     _CALLS.add(1, {key: str(value) for key, value in labels.items()})
 
 
 def count_watch(purpose, change):
-    """Add `change` to the number of waiting watches."""
+    """Add `change` (1 or -1) to the number of open watches."""
     _WATCHES.add(change, {"purpose": str(purpose)})
--- a/packages/daemon/anvilwell_daemon/keyvalue/watches.py
+++ b/packages/daemon/anvilwell_daemon/keyvalue/watches.py
@@ -1,4 +1,4 @@
-"""Carries a blocking watch from its thread to the event loop."""
+"""Passes the changes of a blocking watch to the event loop."""
 
 import asyncio
 import threading
@@ -9,14 +9,14 @@
 
 
 class Watch:
-    """One waiting watch on a thread of its own.
+    """Runs one blocking watch on a thread of its own.
 
     Parameters
     ----------
     blocking : callable
-        Returns the port's ``Watch``, which blocks its reader.
+        Opens the port's ``Watch``, whose iteration blocks.
     purpose : keyvalue.Purpose
-        What the meter counts it for.
+        The label under which the watch is counted.
     """
 
     def __init__(self, blocking, purpose):
@@ -29,7 +29,7 @@
         self._reader = None
 
     async def changes(self):
-        """Yield each change; raise what the port raised."""
+        """Yield each change; an error of the port is raised here."""
         thread = threading.Thread(
             target=self._run, name="keyvalue-watch", daemon=True
         )
@@ -40,7 +40,7 @@
             yield item
 
     def close(self):
-        """End the watch, at the service too; the thread ends soon."""
+        """Close the watch, also at the service; its thread then ends."""
         with self._lock:
             self._closed.set()
             reader = self._reader
--- a/packages/daemon/tests/keyvalue/test_facade.py
+++ b/packages/daemon/tests/keyvalue/test_facade.py
@@ -1,4 +1,4 @@
-"""The facade over a small fake of the port."""
+"""The key-value facade over a fake of the port."""
 
 import asyncio
 import threading
@@ -16,25 +16,25 @@
 
 
 class FakeWatch(port.Watch):
-    """Iterates over `changes`; its end opens the gate they wait at."""
+    """Iterates over `changes`; ``close`` sets the event they wait for."""
 
-    def __init__(self, changes, gate):
+    def __init__(self, changes, released):
         self._changes = changes
-        self._gate = gate
+        self._released = released
 
     def __next__(self):
         return next(self._changes)
 
     def close(self):
-        self._gate.set()
+        self._released.set()
 
 
 class FakePort:
-    """Answers from lists; only what the tests call."""
+    """Implements the calls of the port that these tests need."""
 
     def __init__(self):
         self.calls = []
-        self.gate = threading.Event()
+        self.released = threading.Event()
 
     def get(self, key, *, purpose, timeout_s):
         self.calls.append((key, purpose, timeout_s))
@@ -44,13 +44,13 @@
 
     def watch(self, prefix, from_revision, *, purpose, timeout_s):
         changes = self._changes(prefix, from_revision, timeout_s)
-        return FakeWatch(changes, self.gate)
+        return FakeWatch(changes, self.released)
 
     def _changes(self, prefix, from_revision, timeout_s):
         yield port.Change(prefix, b"1", from_revision)
         if prefix == "fails":
             raise exceptions.KeyValueUnavailable("cut")
-        self.gate.wait(timeout_s)
+        self.released.wait(timeout_s)
         yield port.Change(prefix, b"2", from_revision + 1)
 
 
@@ -61,7 +61,7 @@
         try:
             return await work(service, fake)
         finally:
-            fake.gate.set()
+            fake.released.set()
             await service.stop()
 
     return asyncio.run(main())
@@ -76,7 +76,7 @@
     run(work)
 
 
-def test_unavailable_reaches_the_caller():
+def test_unavailable_is_raised_to_the_caller():
     async def work(service, fake):
         with pytest.raises(exceptions.KeyValueUnavailable):
             await service.get("down", purpose=PURPOSE)
@@ -91,7 +91,7 @@
             "p", 3, purpose=PURPOSE, timeout_s=30.0
         ):
             seen.append(change.revision)
-            fake.gate.set()
+            fake.released.set()
         assert seen == [3, 4]
 
     run(work)
@@ -109,9 +109,10 @@
 
 
 @pytest.mark.parametrize("is_stopped", [True, False])
-def test_no_watch_waits_at_the_service_after_its_end(is_stopped, monkeypatch):
-    """Neither of a stopped daemon nor of a consumer that left."""
-    # The stand-in finds a lost connection by its next progress line.
+def test_closed_watch_is_also_closed_at_the_service(is_stopped, monkeypatch):
+    """A stopped daemon and a cancelled consumer both close the watch."""
+    # The stand-in detects a closed connection when it writes its next
+    # progress line.
     monkeypatch.setattr(server, "PROGRESS_S", 0.2)
 
     async def wait_for(standin, count):
