--- a/packages/client/anvilwell_client/log_search.py
+++ b/packages/client/anvilwell_client/log_search.py
@@ -10,9 +10,10 @@
 # or replica within seconds, and requests are affected only later.
 BEFORE_S = 10.0
 AFTER_S = 2.0
-_OWN_FIELDS = frozenset(("timestamp", "task_uuid", "task_level"))
+# Fields that the log library adds to each line and `explain` leaves out.
+_LIBRARY_FIELDS = frozenset(("timestamp", "task_uuid", "task_level"))
 # Fields whose values link a line to other lines of the same work.
-_LINKS = ("batch_id", "request_id", "item_id")
+_ID_FIELDS = ("batch_id", "request_id", "item_id")
 _REPLICA_FIELDS = ("replica", "replica_id")
 # Events that change the state of a process, whichever request they belong to.
 _STATE_EVENTS = frozenset(
@@ -72,7 +73,7 @@
     fields = {
         key: value
         for key, value in message.items()
-        if key not in _OWN_FIELDS and key not in ("message_type", "vm")
+        if key not in _LIBRARY_FIELDS and key not in ("message_type", "vm")
     }
     return Line(message["timestamp"], message.get("vm", ""), event, fields)
 
@@ -81,8 +82,8 @@
     """Return the lines that concern the id `wanted`, ordered by time.
 
     These are the lines that name it, those about the batches that they
-    belong to, and, from the processes that wrote them, the events of
-    their replicas and the state changes around that time.
+    belong to, and, from the VMs that logged them, the events of their
+    replicas and the state changes around that time.
     """
     matching = _matching(lines, wanted)
     if not matching:
@@ -122,7 +123,11 @@
 
 
 def _names_any(line, ids):
-    named = (line.fields.get(key) for key in _LINKS)
+    """Return whether an id field of `line` is in `ids`.
+
+    An id that starts with an organisation also matches without it.
+    """
+    named = (line.fields.get(key) for key in _ID_FIELDS)
     return any(
         one in ids or organisations.unowned_id(one) in ids
         for one in named
@@ -131,6 +136,11 @@
 
 
 def _is_context(line, batches, replicas, vms):
+    """Return whether a line belongs to the context of the selected lines.
+
+    That is an event of their batches, or, from one of their VMs, an
+    event of their replicas or a change of the process's state.
+    """
     if line.event.startswith("batch-") and _names_any(line, batches):
         return line.event != "batch-read"
     if line.vm not in vms:
--- a/packages/client/tests/commands/test_commands.py
+++ b/packages/client/tests/commands/test_commands.py
@@ -52,7 +52,7 @@
     assert "check --entry" in capsys.readouterr().err
 
 
-def test_not_an_entry(entry, run, capsys):
+def test_malformed_entry_address(entry, run, capsys):
     entry.server.route("/admin/drain/x", lambda request: None, ("GET",))
 
     assert run("drain", "x", entry.flag.replace("127", "x")) == os.EX_DATAERR
