--- a/packages/daemon/anvilwell_daemon/rollout/__init__.py
+++ b/packages/daemon/anvilwell_daemon/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Weight rollout as daemons carry it out."""
+"""Rolls out new model versions to the engines of a service."""
--- a/packages/daemon/anvilwell_daemon/rollout/engine_orders.py
+++ b/packages/daemon/anvilwell_daemon/rollout/engine_orders.py
@@ -1,4 +1,4 @@
-"""The service ``engine-orders``: an agent takes orders for its engine."""
+"""The service ``engine-orders``: executes rollout orders on an agent."""
 
 import asyncio
 import random
@@ -33,16 +33,19 @@
 
 
 class EngineOrders(services.Service):
-    """Checks fencing numbers, orders the engine and reports the truth.
+    """Checks fencing numbers, forwards orders and reports the result.
+
+    Reports state the version that the engine itself last reported.
 
     Parameters
     ----------
     service : str
         The service that the backend server belongs to.
     engine : ports.engine.Engine
-        The engine.
+        The adapter of the agent's engine.
     confirm_timeout_s : float
-        For how long an order without an answer may still take effect.
+        Time in seconds during which an order without a response may
+        still take effect.
     """
 
     name = "engine-orders"
@@ -66,37 +69,37 @@
         self._swap = swaps.Swap(
             vm_id, self._rng, self._now(), confirm_timeout_s
         )
-        self._learning = asyncio.Lock()
+        self._highest_lock = asyncio.Lock()
         self._tasks = set()
         self._listeners = []
         self._leases = None
 
     async def start(self, kernel):
-        """Begin to take orders and to read the engine's version."""
+        """Start accepting orders and polling the engine's version."""
         self._leases = kernel.get("leases")
         peers = kernel.get("peers")
         peers.declare(messages.KINDS)
         peers.on(messages.Order, self.take)
-        self._spawn(self._keep_reading())
+        self._spawn(self._poll_version())
 
     async def stop(self):
-        """Stop; an order that the engine has goes on in the engine."""
+        """Stop the tasks; the engine still completes orders it received."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def report(self):
-        """Return the `messages.Report` as of now."""
+        """Return a `messages.Report` of the current state."""
         wall_ms = int(self._clock.wall() * _MS_PER_S)
         return self._swap.report(self._now(), wall_ms)
 
     def subscribe(self, callback):
-        """Call ``callback()`` when an order's outcome is known."""
+        """Call ``callback()`` whenever an order has been executed."""
         self._listeners.append(callback)
 
     async def take(self, vm_id, order):
-        """Take an `messages.Order`; return a report or a refusal."""
+        """Accept a `messages.Order`; return a report or a refusal."""
         if order.service != self._service:
             raise exceptions.NotFound(
                 f"this agent serves {self._service!r}, not {order.service!r}"
@@ -115,19 +118,19 @@
     async def _learn_highest(self):
         if self._swap.gate.highest is not None:
             return
-        async with self._learning:
+        async with self._highest_lock:
             if self._swap.gate.highest is not None:
                 return
             name = leadership_name(self._service)
             try:
                 self._swap.gate.raise_to(await self._leases.highest(name))
             except exceptions.KeyValueUnavailable as error:
-                # The door itself refuses then, with what to do.
+                # The fencing gate then refuses the order as retryable.
                 _LOG.log("highest-unknown", cause=error.message)
 
     async def _execute(self, order):
         outcome = await self._order_engine(order)
-        await self._read()
+        await self._read_version()
         self._swap.executed(outcome, self._now())
         _LOG.log(
             "executed",
@@ -140,10 +143,12 @@
 
     async def _order_engine(self, order):
         timeout_s = _TIMEOUTS_S_BY_KIND[order.kind]
-        told = port.Order(str(order.kind), order.version, order.fencing)
+        engine_order = port.Order(
+            str(order.kind), order.version, order.fencing
+        )
         try:
             await asyncio.to_thread(
-                self._engine.order, told, timeout_s=timeout_s
+                self._engine.order, engine_order, timeout_s=timeout_s
             )
         except exceptions.AnvilwellError as error:
             _LOG.log("order-failed", cause=error.message)
@@ -152,12 +157,12 @@
             return swaps.CallOutcome.UNKNOWN
         return swaps.CallOutcome.DONE
 
-    async def _keep_reading(self):
+    async def _poll_version(self):
         while True:
-            await self._read()
+            await self._read_version()
             await asyncio.sleep(READ_PERIOD_S * self._rng.uniform(0.8, 1.2))
 
-    async def _read(self):
+    async def _read_version(self):
         try:
             load = await asyncio.to_thread(
                 self._engine.load, timeout_s=READ_TIMEOUT_S
--- a/packages/daemon/anvilwell_daemon/rollout/leader.py
+++ b/packages/daemon/anvilwell_daemon/rollout/leader.py
@@ -1,4 +1,4 @@
-"""Leads the rollout of one service while it holds the lease."""
+"""Leads the rollout of one service while it holds the leadership."""
 
 import asyncio
 import collections
@@ -21,18 +21,18 @@
 
 
 class Leader:
-    """Holds a service's rollout lease and carries out its reconciler.
+    """Holds a service's rollout leadership and runs its reconciler.
 
     Parameters
     ----------
     service : str
-        The service.
+        The name of the service.
     kernel : services.Kernel
-        Finds the daemon's other services.
+        The kernel with the daemon's other services.
     clock : clock.Clock
         Source of time.
     weight_store : ports.weightstore.WeightStore, optional
-        Asked for new versions to load ahead.
+        Lists published versions, of which the newest is loaded ahead.
     """
 
     def __init__(self, service, kernel, clock, weight_store=None):
@@ -46,13 +46,13 @@
         self._weight_store = weight_store
         self._lease = None
         self._reconciler = None
-        self._told = None
+        self._logged_state = None
         self._turns_by_domain = collections.Counter()
         self._batches_by_domain = {}
 
     @property
     def leads(self):
-        """Whether it holds the lease and may act."""
+        """Whether it holds the leadership and may send orders."""
         return self._lease is not None and self._lease.is_valid
 
     @property
@@ -61,7 +61,7 @@
         return self._reconciler.progress() if self.leads else None
 
     async def run(self):
-        """Stand for the lease and lead, again and again."""
+        """Wait for the leadership, lead until it is lost, and repeat."""
         name = engine_orders.leadership_name(self._service)
         while True:
             lease = await self._leases.hold(name)
@@ -84,16 +84,16 @@
 
     async def _reconcile(self, lease):
         while lease.is_valid:
-            self._look()
+            self._update_reconciler()
             orders_by_id = self._reconciler.tick(self._clock.monotonic())
             for domain, targets in self._by_domain(orders_by_id).items():
                 self._send(lease, domain, targets)
-            self._tell_progress()
+            self._log_progress()
             is_settled = self._reconciler.is_settled
             await asyncio.sleep(SETTLED_TICK_S if is_settled else TICK_S)
 
-    def _look(self):
-        """Take in what the document and membership say now."""
+    def _update_reconciler(self):
+        """Pass the current members and document to the reconciler."""
         dead = membership.State.DEAD
         self._reconciler.set_members(
             {
@@ -113,16 +113,16 @@
                 reconciler.Desired(model.version, generation, model.live_floor)
             )
 
-    def _tell_progress(self):
-        """Log what stands in the way whenever it changes."""
+    def _log_progress(self):
+        """Log the progress when a failure, a block or settling changes."""
         progress = self._reconciler.progress()
-        told = (
+        state = (
             progress.failed,
             progress.is_blocked,
             self._reconciler.is_settled,
         )
-        if told != self._told:
-            self._told = told
+        if state != self._logged_state:
+            self._logged_state = state
             _LOG.log("progress", service=self._service, **progress._asdict())
 
     def _by_domain(self, orders_by_id):
@@ -134,15 +134,16 @@
         return targets_by_domain
 
     def _send(self, lease, domain, targets):
-        task = asyncio.create_task(self._pass_on(lease, domain, targets))
+        task = asyncio.create_task(self._send_batch(lease, domain, targets))
         self._batches_by_domain.setdefault(domain, set()).add(task)
         task.add_done_callback(self._batches_by_domain[domain].discard)
 
-    async def _pass_on(self, lease, domain, targets):
+    async def _send_batch(self, lease, domain, targets):
         batch = messages.Batch(targets)
         via = self._pick_relay(domain, targets)
         try:
-            # Right before the outward act: a pause may lie behind us.
+            # Checked right before sending, as the process may have been
+            # paused since the leadership was last checked.
             lease.check()
             if via == self._peers.vm_id:
                 answer = await self._relay.take(via, batch)
@@ -152,9 +153,9 @@
             _LOG.log("batch-failed", via=via, cause=error.message)
             self._turns_by_domain[domain] += 1
             answer = messages.BatchReport([], [], [t.vm_id for t in targets])
-        self._take(answer)
+        self._process(answer)
 
-    def _take(self, answer):
+    def _process(self, answer):
         if self._reconciler is None:
             return
         for report in answer.reports:
@@ -177,7 +178,7 @@
         return found[self._turns_by_domain[domain] % len(found)]
 
     async def _load_ahead(self):
-        """Have the newest published version loaded before it is wanted."""
+        """Have the newest published version loaded before it is needed."""
         while self._weight_store is not None:
             try:
                 versions = await self._published()
--- a/packages/daemon/anvilwell_daemon/rollout/relay.py
+++ b/packages/daemon/anvilwell_daemon/rollout/relay.py
@@ -1,4 +1,4 @@
-"""The service ``order-relay``: passes a batch on within a domain."""
+"""The service ``order-relay``: forwards orders in a failure domain."""
 
 import asyncio
 
@@ -11,10 +11,11 @@
 
 
 class OrderRelay(services.Service):
-    """Sends each order of a batch to its agent and gathers the answers.
+    """Sends each order of a batch to its agent and collects responses.
 
-    Every daemon can do it and keeps nothing: the leader picks one for
-    each failure domain, so that its own cost grows with the domains.
+    Every daemon can be a relay, as a relay keeps no state. The leader
+    selects one per failure domain, so the number of messages that it
+    sends grows with the domains and not with the agents.
     """
 
     name = "order-relay"
@@ -25,7 +26,7 @@
         self._local = None
 
     async def start(self, kernel):
-        """Begin to take batches."""
+        """Start accepting batches."""
         self._peers = kernel.get("peers")
         if kernel.has("engine-orders"):
             self._local = kernel.get("engine-orders")
@@ -33,10 +34,10 @@
         self._peers.on(messages.Batch, self.take)
 
     async def take(self, vm_id, batch):
-        """Pass on a `messages.Batch`; return a `messages.BatchReport`."""
-        room = asyncio.Semaphore(CONCURRENCY)
+        """Forward a `messages.Batch`; return a `messages.BatchReport`."""
+        limiter = asyncio.Semaphore(CONCURRENCY)
         answers = await asyncio.gather(
-            *(self._pass_on(target, room) for target in batch.targets)
+            *(self._forward(target, limiter) for target in batch.targets)
         )
         pairs = list(zip(batch.targets, answers, strict=True))
         return messages.BatchReport(
@@ -45,8 +46,8 @@
             [target.vm_id for target, answer in pairs if answer is None],
         )
 
-    async def _pass_on(self, target, room):
-        async with room:
+    async def _forward(self, target, limiter):
+        async with limiter:
             try:
                 if target.vm_id == self._peers.vm_id and self._local:
                     return await self._local.take(target.vm_id, target.order)
--- a/packages/daemon/anvilwell_daemon/rollout/service.py
+++ b/packages/daemon/anvilwell_daemon/rollout/service.py
@@ -1,4 +1,4 @@
-"""The service ``rollout``: entries that stand for rollout leaderships."""
+"""The service ``rollout``: makes entries candidates for rollout leader."""
 
 import asyncio
 
@@ -18,11 +18,11 @@
 
 
 class Rollout(services.Service):
-    """Runs a `leader.Leader` for each service that it is a candidate of.
+    """Runs a `leader.Leader` for each service it is a candidate for.
 
-    Of the live entries the two that rank highest by a hash of service
-    and id stand for its lease, so that reads of the key-value service
-    grow with the services and not with the entries.
+    For each service, only the first two live entries by a hash of the
+    service and the entry's id are candidates. Reads of the key-value
+    service therefore grow with the services and not with the entries.
     """
 
     name = "rollout"
@@ -34,22 +34,22 @@
         self._leaders_by_service = {}
         self._tasks_by_service = {}
         self._kernel = None
-        self._turns = None
+        self._candidacy_task = None
 
     async def start(self, kernel):
-        """Begin to look whose turn it is."""
+        """Start checking which services this entry is a candidate for."""
         self._kernel = kernel
-        self._turns = asyncio.create_task(self._take_turns())
+        self._candidacy_task = asyncio.create_task(self._check_candidacies())
 
     async def drain(self):
-        """Lead no more."""
+        """Stop leading, so that another entry takes over."""
         await self.stop()
 
     async def stop(self):
-        """Stop leading."""
+        """Stop leading and being a candidate."""
         tasks = [*self._tasks_by_service.values()]
-        if self._turns:
-            tasks.append(self._turns)
+        if self._candidacy_task:
+            tasks.append(self._candidacy_task)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -69,22 +69,22 @@
             )
         return leader.progress
 
-    async def _take_turns(self):
+    async def _check_candidacies(self):
         while True:
             for service in self._kernel.get("configuration").services():
-                self._take_turn(service)
+                self._update_candidacy(service)
             await asyncio.sleep(TURN_PERIOD_S)
 
-    def _take_turn(self, service):
-        self._forget_ended(service)
+    def _update_candidacy(self, service):
+        self._remove_ended(service)
         is_candidate = self._is_candidate(service)
         if service not in self._tasks_by_service:
             if is_candidate and self._is_model(service):
-                self._stand(service)
+                self._start_leader(service)
         elif not is_candidate and not self._leaders_by_service[service].leads:
             self._tasks_by_service[service].cancel()
 
-    def _forget_ended(self, service):
+    def _remove_ended(self, service):
         task = self._tasks_by_service.get(service)
         if task is None or not task.done():
             return
@@ -95,7 +95,7 @@
                 "leader-failed", service=service, error=repr(task.exception())
             )
 
-    def _stand(self, service):
+    def _start_leader(self, service):
         leader = leaders.Leader(
             service, self._kernel, self._clock, self._weight_store
         )
--- a/packages/daemon/tests/rollout/test_rollout.py
+++ b/packages/daemon/tests/rollout/test_rollout.py
@@ -1,4 +1,4 @@
-"""A rollout over real sockets: one leader, agents and their engines."""
+"""Rollouts over real sockets: leaders, agents and engine stand-ins."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class Gate:
-    """Passes calls on to the store unless it is shut."""
+    """Forwards calls to the store; fails them while it is shut."""
 
     def __init__(self, store):
         self.is_shut = False
@@ -37,12 +37,12 @@
 
     def __getattr__(self, name):
         if self.is_shut:
-            raise exceptions.KeyValueUnavailable("no way to the store")
+            raise exceptions.KeyValueUnavailable("the store is unreachable")
         return getattr(self._store, name)
 
 
 class Configuration(services.Service):
-    """One document that the test changes."""
+    """A configuration service with one document that the test changes."""
 
     name = "configuration"
 
@@ -68,7 +68,7 @@
 
 
 class Fleet:
-    """Daemons with the services that a rollout needs."""
+    """Daemons with the services that a rollout requires."""
 
     def __init__(self, stack, configuration):
         self.stack = stack
@@ -98,11 +98,11 @@
         store = etcd.Etcd(http_client.HttpClient(self.keyvalue.address))
         self.stack.callback(store.close)
         self.gates_by_id[vm_id] = Gate(store)
-        door = listener.Listener("127.0.0.1", 0)
+        peer_listener = listener.Listener("127.0.0.1", 0)
         kernel = services.Kernel(
             [
-                door,
-                peers_service.Peers(vm_id, door),
+                peer_listener,
+                peers_service.Peers(vm_id, peer_listener),
                 membership_service.Membership(
                     role,
                     name,
@@ -118,12 +118,12 @@
         )
         await kernel.start()
         self.stack.push_async_callback(kernel.stop)
-        self.seeds.append(door.address)
+        self.seeds.append(peer_listener.address)
 
     def versions(self):
         return [engine.weights.active for engine in self.engines]
 
-    async def until(self, is_reached):
+    async def wait_until(self, is_reached):
         while not is_reached():
             await asyncio.sleep(POLL_S)
 
@@ -144,38 +144,40 @@
 def test_document_change_reaches_every_engine_and_rolls_back():
     async def work(fleet):
         fleet.configuration.change("2", 2)
-        await fleet.until(lambda: fleet.versions() == ["2"] * 4)
+        await fleet.wait_until(lambda: fleet.versions() == ["2"] * 4)
         fleet.configuration.change("1", 3)
-        await fleet.until(lambda: fleet.versions() == ["1"] * 4)
+        await fleet.wait_until(lambda: fleet.versions() == ["1"] * 4)
 
     run(work)
 
 
-def test_failed_swap_is_retried_and_at_last_given_up_and_reported():
+def test_failed_swap_is_retried_then_abandoned_and_reported():
     async def work(fleet):
         never = faults.Fault("swap-failed", count=faults.FOREVER)
         fleet.engines[0].faults.add(never)
         fleet.engines[1].faults.add(faults.Fault("swap-failed"))
         fleet.configuration.change("2", 2)
-        await fleet.until(lambda: fleet.versions() == ["1", "2"])
-        await fleet.until(lambda: leads(fleet.rollout))
-        await fleet.until(lambda: fleet.rollout.progress("lm").failed == 1)
+        await fleet.wait_until(lambda: fleet.versions() == ["1", "2"])
+        await fleet.wait_until(lambda: leads(fleet.rollout))
+        await fleet.wait_until(
+            lambda: fleet.rollout.progress("lm").failed == 1
+        )
         assert fleet.rollout.progress("lm").at_version == 1
 
     run(work, agents=2, floor=0.5)
 
 
-def test_leader_cut_off_from_the_store_is_replaced_and_the_rollout_ends():
+def test_leader_without_the_store_is_replaced_and_the_rollout_completes():
     async def work(fleet):
         first = fleet.rollout
         fleet.configuration.change("2", 2)
-        await fleet.until(lambda: fleet.versions() == ["2"] * 2)
+        await fleet.wait_until(lambda: fleet.versions() == ["2"] * 2)
         await fleet.add_entry("second")
         fleet.gates_by_id["entry"].is_shut = True
-        await fleet.until(lambda: leads(fleet.rollout))
+        await fleet.wait_until(lambda: leads(fleet.rollout))
         assert not leads(first)
         fleet.configuration.change("3", 3)
-        await fleet.until(lambda: fleet.versions() == ["3"] * 2)
+        await fleet.wait_until(lambda: fleet.versions() == ["3"] * 2)
 
     run(work, agents=2, floor=0.5)
 
