--- a/packages/daemon/anvilwell_daemon/membership/__init__.py
+++ b/packages/daemon/anvilwell_daemon/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the fleet as the daemon sees and keeps it."""
+"""Keeps the daemon's view of the fleet's members up to date."""
--- a/packages/daemon/anvilwell_daemon/membership/joining.py
+++ b/packages/daemon/anvilwell_daemon/membership/joining.py
@@ -1,4 +1,4 @@
-"""Finds the fleet by seeds at the start and after a long split."""
+"""Joins the fleet by seeds at startup and after a network partition."""
 
 import asyncio
 
@@ -14,19 +14,20 @@
 
 
 class Joining:
-    """Asks seeds for the other daemons until some are known.
+    """Contacts seeds until other daemons are known.
 
-    Afterwards it visits, about once a minute, a seed that is not known
-    as live: a split that outlasted the memory of the dead heals by it.
+    Afterwards it contacts a seed that is not known as live about once a
+    minute. This heals a partition that lasted so long that both sides
+    have removed each other's members as dead.
 
     Parameters
     ----------
     membership : service.Membership
-        Gains what the seeds know.
+        Receives the members that the seeds know.
     seeds : tuple of str
-        Addresses.
+        Addresses (``host:port``) of the seeds.
     rng : random.Random
-        Source of jitter and choice.
+        Source of jitter, and of the seed to contact next.
     """
 
     def __init__(self, membership, seeds, rng):
@@ -35,18 +36,18 @@
         self._rng = rng
 
     async def run(self):
-        """Join, then go on visiting seeds that are not known."""
+        """Join, then keep contacting seeds that are not known as live."""
         retry_s = FIRST_RETRY_S
         while True:
             seeds = self._unknown_seeds()
             if seeds:
-                await self._visit(self._rng.choice(seeds))
+                await self._contact(self._rng.choice(seeds))
             is_alone = len(self._membership.members_by_id) == 1
             pause_s = retry_s if is_alone else REVISIT_S
             retry_s = min(retry_s * 2, LAST_RETRY_S)
             await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.5))
 
-    async def _visit(self, address):
+    async def _contact(self, address):
         try:
             await self._membership.meet(address)
         except exceptions.AnvilwellError as error:
--- a/packages/daemon/anvilwell_daemon/membership/listing.py
+++ b/packages/daemon/anvilwell_daemon/membership/listing.py
@@ -1,4 +1,4 @@
-"""Reads the platform's VM list on behalf of a failure domain."""
+"""Reads the platform's VM list for the whole failure domain."""
 
 import asyncio
 
@@ -14,14 +14,14 @@
 
 
 class Listing:
-    """Reads the list if it is this daemon's turn, and spreads the news.
+    """Reads the list if this daemon is one of its domain's readers.
 
     Parameters
     ----------
     membership : service.Membership
-        Learns who is leaving, and gains members to meet.
+        Is given the members that are leaving and unknown VMs to meet.
     vm_list : ports.vmlist.VmList
-        The list.
+        The platform's list.
     rng : random.Random
         Source of jitter.
     """
@@ -33,16 +33,20 @@
         self._merge = vmlist.VmListMerge()
 
     async def run(self):
-        """Read for ever, a second apart, or look whose turn it is."""
+        """Read the list every ``READ_PERIOD_S`` (about 1 s) as a reader.
+
+        A daemon that is not a reader checks every ``TURN_PERIOD_S``
+        whether it has become one.
+        """
         while True:
-            if self._is_turn():
+            if self._is_reader():
                 await self._read()
                 period_s = vmlist.READ_PERIOD_S
             else:
                 period_s = TURN_PERIOD_S
             await asyncio.sleep(period_s * self._rng.uniform(0.8, 1.2))
 
-    def _is_turn(self):
+    def _is_reader(self):
         members = self._membership.members_by_id.values()
         return vmlist.reads_list(self._membership.me, members)
 
@@ -55,21 +59,24 @@
             _LOG.log("list-unread", cause=error.message)
             return
         self._membership.mark_leaving(sorted(self._merge.observe(vms_by_id)))
-        await self._meet_someone(vms_by_id)
+        await self._meet_unknown(vms_by_id)
+
+    async def _meet_unknown(self, vms_by_id):
+        """Meet one listed VM that is unknown or known as dead.
 
-    async def _meet_someone(self, vms_by_id):
-        """Meet one listed VM that is not known: it may be a lost part."""
+        It may belong to a part of the fleet that was partitioned off.
+        """
         known = self._membership.members_by_id
         dead = messages.State.DEAD
-        strangers = sorted(
+        unknown_addresses = sorted(
             vm.address
             for vm_id, vm in vms_by_id.items()
             if ":" in vm.address
             and (vm_id not in known or known[vm_id].state is dead)
         )
-        if not strangers:
+        if not unknown_addresses:
             return
-        address = self._rng.choice(strangers)
+        address = self._rng.choice(unknown_addresses)
         try:
             await self._membership.meet(address)
         except exceptions.AnvilwellError as error:
--- a/packages/daemon/anvilwell_daemon/membership/service.py
+++ b/packages/daemon/anvilwell_daemon/membership/service.py
@@ -1,4 +1,4 @@
-"""The service ``membership``: who is in the fleet, kept up to date."""
+"""The service ``membership``: tracks the members of the fleet."""
 
 import asyncio
 import random
@@ -20,16 +20,16 @@
 
 
 class Membership(services.Service):
-    """Carries out what the membership decisions ask for.
+    """Runs the membership protocol and reports changes of members.
 
     Parameters
     ----------
     role, service, failure_domain : str
-        What this daemon tells of itself; ``service`` is "" for entries.
+        Announced to the other members; ``service`` is "" for entries.
     seeds : iterable of str
-        Addresses (``host:port``) of daemons to ask for the others.
+        Addresses (``host:port``) of daemons through which this one joins.
     vm_list : ports.vmlist.VmList, optional
-        The platform's list.
+        The platform's list of VMs.
     """
 
     name = "membership"
@@ -71,31 +71,31 @@
 
     @property
     def me(self):
-        """The record of this daemon itself."""
+        """The member record of this daemon."""
         return self._node.me
 
     @property
     def members_by_id(self):
-        """All known members, this daemon and the dead included."""
+        """All known members, including this daemon and dead ones."""
         return self._node.members_by_id
 
     @property
     def neighbours(self):
-        """Ids of the daemons that news goes to."""
+        """Ids of the daemons that this one exchanges heartbeats with."""
         return self._node.neighbours
 
     @property
     def is_isolated(self):
-        """Whether all neighbours are silent, so this daemon is cut off."""
+        """Whether no neighbour responds, so this daemon is isolated."""
         return self._node.is_isolated
 
     def in_state(self, *states):
-        """Return the members in one of `states`, in the order of ids."""
+        """Return the members in one of `states`, sorted by id."""
         found = (m for m in self.members_by_id.values() if m.state in states)
         return sorted(found)
 
     def subscribe(self, callback):
-        """Call ``callback(before, after)`` at each change of a record.
+        """Call ``callback(before, after)`` when a member record changes.
 
         ``before`` is None for a new member. Callbacks run on the event
         loop and must not block.
@@ -103,11 +103,11 @@
         self._callbacks.append(callback)
 
     def unsubscribe(self, callback):
-        """Undo ``subscribe``."""
+        """Remove a callback added by ``subscribe``."""
         self._callbacks.remove(callback)
 
     async def start(self, kernel):
-        """Begin to send heartbeats and to join by the seeds."""
+        """Start sending heartbeats and joining through the seeds."""
         self._peers = kernel.get("peers")
         me = messages.Member(
             self._peers.vm_id,
@@ -128,35 +128,35 @@
             self._spawn(reader.run())
 
     async def drain(self):
-        """Announce that this daemon takes no new work."""
+        """Announce that this daemon accepts no new work."""
         self._carry_out(self._node.leave(self._now()))
 
     async def stop(self):
-        """Stop sending; the others find out by silence."""
+        """Stop sending; the others detect the missing heartbeats."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def is_ready(self):
-        """Return whether another daemon is known, or none is expected."""
+        """Return whether another daemon is known or there are no seeds."""
         is_alone = len(self.members_by_id) == 1
         return not (is_alone and self._seeds)
 
     async def meet(self, address):
-        """Exchange tables with the daemon at `address`.
+        """Exchange member tables with the daemon at `address`.
 
         Raises
         ------
         exceptions.AnvilwellError
-            If there is none.
+            If no daemon responds there.
         """
         vm_id = await self._peers.meet(address)
         if vm_id != self._peers.vm_id:
             self._carry_out(self._node.meet(self._now(), vm_id))
 
     def mark_leaving(self, vm_ids):
-        """Take the VM list's word that `vm_ids` are leaving."""
+        """Mark `vm_ids` as leaving, as reported by the VM list."""
         self._carry_out(self._node.mark_leaving(self._now(), vm_ids))
 
     async def _tick(self):
@@ -172,7 +172,7 @@
             if isinstance(action, nodes.Send):
                 self._spawn(self._send(action))
             else:
-                self._tell(action)
+                self._publish(action)
 
     async def _send(self, send):
         if send.address:
@@ -184,10 +184,11 @@
         except exceptions.Timeout:
             self._peers.drop(send.vm_id)
         except exceptions.AnvilwellError as error:
-            # The detector counts the missing ack; nothing else to do.
+            # The failure detector counts the missing acknowledgement, so
+            # the message is not sent again here.
             _LOG.log("unsent", to=send.vm_id, reason=str(error.reason))
 
-    def _tell(self, change):
+    def _publish(self, change):
         after = change.after
         if after.state is messages.State.DEAD:
             self._peers.forget(after.vm_id)
--- a/packages/daemon/tests/membership/test_service.py
+++ b/packages/daemon/tests/membership/test_service.py
@@ -1,4 +1,4 @@
-"""Membership of a few daemons over real sockets."""
+"""The membership service with a few daemons over real sockets."""
 
 import asyncio
 import contextlib
@@ -18,13 +18,13 @@
 
 
 class Daemon:
-    """The kernel of one daemon's control services."""
+    """A daemon with only the services that membership requires."""
 
     def __init__(self, vm_id, seeds=(), vm_list=None):
         self.vm_id = vm_id
-        door = listener.Listener("127.0.0.1", 0)
-        self.listener = door
-        self.peers = peers_service.Peers(vm_id, door)
+        peer_listener = listener.Listener("127.0.0.1", 0)
+        self.listener = peer_listener
+        self.peers = peers_service.Peers(vm_id, peer_listener)
         self.membership = service.Membership(
             "agent",
             "lm",
@@ -33,13 +33,15 @@
             vm_list=vm_list,
             rng=random.Random(vm_id),
         )
-        self.kernel = services.Kernel([door, self.peers, self.membership])
+        self.kernel = services.Kernel(
+            [peer_listener, self.peers, self.membership]
+        )
 
     def state_of(self, vm_id):
         member = self.membership.members_by_id.get(vm_id)
         return member and member.state
 
-    async def sees(self, vm_id, state):
+    async def wait_for_state(self, vm_id, state):
         changed = asyncio.Event()
 
         def wake(before, after):
@@ -65,32 +67,32 @@
             daemons.append(daemon)
         for daemon in daemons:
             for vm_id in vm_ids:
-                await daemon.sees(vm_id, LIVE)
+                await daemon.wait_for_state(vm_id, LIVE)
         yield daemons
 
 
-def test_daemons_meet_by_a_seed_and_see_one_leave():
+def test_daemons_join_by_a_seed_and_see_one_leave():
     async def main():
         async with fleet("vm0", "vm1", "vm2", "vm3") as daemons:
             await daemons[3].membership.drain()
             for daemon in daemons[:3]:
-                await daemon.sees("vm3", LEAVING)
+                await daemon.wait_for_state("vm3", LEAVING)
             assert all(daemon.membership.is_ready() for daemon in daemons)
 
     asyncio.run(main())
 
 
-def test_stopped_daemon_is_found_dead_by_all_others():
+def test_stopped_daemon_is_detected_as_dead_by_all_others():
     async def main():
         async with fleet("vm0", "vm1", "vm2") as daemons:
             await daemons[2].kernel.stop()
             for daemon in daemons[:2]:
-                await daemon.sees("vm2", DEAD)
+                await daemon.wait_for_state("vm2", DEAD)
 
     asyncio.run(main())
 
 
-def test_vm_list_tells_all_of_a_leaving_daemon():
+def test_leaving_daemon_in_the_vm_list_is_announced_to_all():
     class Vm(typing.NamedTuple):
         address: str
         state: str
@@ -107,7 +109,7 @@
             await last.kernel.start()
             try:
                 for daemon in daemons:
-                    await daemon.sees("vm1", LEAVING)
+                    await daemon.wait_for_state("vm1", LEAVING)
             finally:
                 await last.kernel.stop()
 
@@ -115,18 +117,18 @@
 
 
 class RecordingPeers(peers_service.Peers):
-    """Peers that note whose address they were told."""
+    """Peers that record which VMs they were given an address for."""
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.told = set()
+        self.learned_ids = set()
 
     def learn(self, vm_id, address):
         super().learn(vm_id, address)
-        self.told.add(vm_id)
+        self.learned_ids.add(vm_id)
 
 
-def test_members_that_are_no_neighbours_can_be_reached(monkeypatch):
+def test_members_that_are_not_neighbours_have_an_address(monkeypatch):
     monkeypatch.setattr(peers_service, "Peers", RecordingPeers)
 
     async def main():
@@ -134,18 +136,18 @@
             known = []
 
             def note(before, after):
-                known.append(after.vm_id in daemon.peers.told)
+                known.append(after.vm_id in daemon.peers.learned_ids)
 
             daemon.membership.subscribe(note)
-            far = messages.Member(
+            remote = messages.Member(
                 "vm9", "127.0.0.1:9", "d9", "agent", "lm", LIVE, 1
             )
             async with fleet("vm1") as (other,):
                 other.peers.learn("vm0", daemon.listener.address)
                 await other.peers.send(
-                    "vm0", messages.Difference([], [far], False)
+                    "vm0", messages.Difference([], [remote], False)
                 )
-                await daemon.sees("vm9", LIVE)
+                await daemon.wait_for_state("vm9", LIVE)
             assert all(known)
 
     asyncio.run(main())
