--- a/packages/decisions/anvilwell_decisions/batches/loading.py
+++ b/packages/decisions/anvilwell_decisions/batches/loading.py
@@ -15,10 +15,10 @@
 # the previous version and continue while the weights are loaded; an engine
 # that loaded at once would keep them waiting for a second.
 FIRST_LOAD_DELAY_S = 0.3
-# Engines take turns at loading only if there are at least this many engines
-# for each version of a period, the number of versions in which each engine
-# loads once. With fewer, too few engines would be left for the first items of
-# a step while the others load.
+# Engines that take turns at loading each load one version out of every
+# `lag + 1`, which is called the period. They take turns only if there are at
+# least this many engines for each version of the period. With fewer, too few
+# engines would be left for the first items of a step while the others load.
 MIN_ENGINES_PER_VERSION = 2
 # Each model is loaded by at least this many engines. Enough engines must be
 # left when some are lost, and there must be two engines for each of two
--- a/packages/decisions/anvilwell_decisions/batches/slots.py
+++ b/packages/decisions/anvilwell_decisions/batches/slots.py
@@ -175,8 +175,8 @@
             free_slots_by_replica.items(), key=lambda pair: -pair[1]
         )
         for replica_id, free_slots in by_free_slots:
-            # The slots of the borrower's earlier loan don't count as free in
-            # `free_slots`. Add those that it doesn't use any more.
+            # `free_slots` excludes the slots that were lent to this borrower
+            # on its previous request. Add those that it no longer uses.
             count = max(
                 0, min(free_slots + freed_by_replica[replica_id], available)
             )
--- a/packages/decisions/anvilwell_decisions/requests/grants.py
+++ b/packages/decisions/anvilwell_decisions/requests/grants.py
@@ -147,7 +147,12 @@
         )
 
     def _fair_rate_per_s(self, account):
-        """Return the rate by share of demand, limited to what is free."""
+        """Return the rate to grant to an entry.
+
+        This is the part of the team's limit that corresponds to the entry's
+        share of the total demand, but at most the part of the limit that other
+        entries don't hold.
+        """
         free_per_s = self._limit_per_s - (
             self._held_per_s - account.held_per_s
         )
--- a/packages/decisions/anvilwell_decisions/requests/trials.py
+++ b/packages/decisions/anvilwell_decisions/requests/trials.py
@@ -7,7 +7,8 @@
 
 import typing
 
-# A trial whose end is not reported expires after this many seconds.
+# A trial is one attempt to run a suspect request at a replica. If its end is
+# not reported, it expires after this many seconds.
 MAX_TRIAL_S = 5.0
 # Delay of a request that is refused during another trial, in seconds.
 RETRY_WAIT_S = 1.0
--- a/packages/decisions/anvilwell_decisions/samples/records.py
+++ b/packages/decisions/anvilwell_decisions/samples/records.py
@@ -44,7 +44,7 @@
 
 
 class TrainerVersion(typing.NamedTuple):
-    """The weight version of the trainer from this entry on."""
+    """The trainer's weight version from this record of the log on."""
 
     version: str
 
--- a/packages/gateway/anvilwell_gateway/batches/intake.py
+++ b/packages/gateway/anvilwell_gateway/batches/intake.py
@@ -32,10 +32,10 @@
 # Delay between the candidates for a dead owner's batch, in seconds: they try
 # to take it over one after another.
 RANK_DELAY_S = 0.4
-# How long a batch that is taken over waits for older batches that are being
-# taken over here too, in seconds. The first batch to open would get the slots
-# that a trainer's earlier step needs: the earlier step ends sooner, but takes
-# longer to read from the store.
+# How long a batch that is taken over waits until older batches that are being
+# taken over here too are open, in seconds. The batch of a trainer's earlier
+# step ends sooner, but takes longer to read from the store. Without the wait,
+# a later batch would open first and take the slots that the earlier one needs.
 OLDER_BATCH_WAIT_S = 0.3
 
 _LOG = logs.get_logger(__name__)
--- a/packages/gateway/anvilwell_gateway/batches/saving.py
+++ b/packages/gateway/anvilwell_gateway/batches/saving.py
@@ -18,7 +18,11 @@
 
 
 class Saver:
-    """Periodically saves the longer unlisted texts of one batch.
+    """Periodically saves the texts of one batch that are not yet results.
+
+    These are the texts of items whose results are not yet listed in the store.
+    Incomplete texts are saved if they have at least `MIN_SAVED_EVENTS` events
+    and their route allows resuming.
 
     Parameters
     ----------
--- a/packages/gateway/anvilwell_gateway/batches/scheduler.py
+++ b/packages/gateway/anvilwell_gateway/batches/scheduler.py
@@ -24,9 +24,10 @@
 # Notices that arrive within this time share a pass, in seconds. With 223
 # agents there are hundreds of notices per second.
 NOTICE_DELAY_S = 0.01
-# Largest share of an entry's time that passes may take. With thousands of
-# items a run ends every few milliseconds, and the events of all other runs
-# wait during a pass.
+# Largest share of an entry's time that may be spent on passes; a pass starts
+# and moves all items that can start or move. With thousands of items a run
+# ends every few milliseconds and requests another pass, and the events of all
+# other runs wait during a pass.
 MAX_TIME_SHARE = 0.2
 
 _RETRIES_BY_END = {
--- a/packages/gateway/anvilwell_gateway/live_calls.py
+++ b/packages/gateway/anvilwell_gateway/live_calls.py
@@ -1,4 +1,8 @@
-"""Answers the live calls of an entry: admission, forwarding and usage."""
+"""Answers live calls: admission, forwarding and usage accounting.
+
+A live call is a request outside of batches. It is forwarded to a replica while
+its caller waits for the response.
+"""
 
 from anvilwell_gateway import admission
 from anvilwell_gateway import crash_tracker
--- a/packages/gateway/anvilwell_gateway/presence.py
+++ b/packages/gateway/anvilwell_gateway/presence.py
@@ -28,9 +28,10 @@
 # check that, and a read of the store by the requester itself, a change still
 # takes effect within two seconds.
 MAX_ANSWER_AGE_S = 1.2
-# If the store answered this process within this time, in seconds, that answer
-# is later than the last one of any entry that can no longer confirm its cache,
-# as all processes renew at the same interval.
+# The store counts as answering this process if its last answer is younger than
+# this, in seconds. An entry that can no longer confirm its cache has had no
+# answer for `MAX_ANSWER_AGE_S`. All processes renew every `RENEW_S`, so the
+# store has answered this process since that entry's last answer.
 RECENT_ANSWER_S = MAX_ANSWER_AGE_S - RENEW_S
 
 _LOG = logs.get_logger(__name__)
