--- a/packages/decisions/anvilwell_decisions/batches/lengths.py
+++ b/packages/decisions/anvilwell_decisions/batches/lengths.py
@@ -7,8 +7,8 @@
 # Number of text lengths that are remembered for each kind of items.
 MAX_LENGTHS = 512
 # An estimate needs at least this many remembered texts that are longer than
-# the text of the run. With fewer, the run is expected to make as many events
-# again as it has made so far, since lengths have a long tail.
+# the text of the run. With fewer, the run is expected to add as many events
+# as its text has already, since lengths have a long tail.
 MIN_LENGTHS = 8
 
 
--- a/packages/decisions/anvilwell_decisions/batches/paces.py
+++ b/packages/decisions/anvilwell_decisions/batches/paces.py
@@ -29,14 +29,14 @@
 MAX_SLOWDOWNS = 256
 # An estimate needs at least this many remembered slowdowns that lasted longer
 # than the present one has lasted so far. With fewer, the present one is
-# expected to last for as long again.
+# expected to last as much longer as it has lasted so far.
 MIN_SLOWDOWNS = 4
-# Least time that a slowdown is expected to last from now on, in seconds. All
-# that is known of a slowdown that has just begun is that it lasted longer than
+# Lower limit of the estimated remaining time of a slowdown, in seconds. Of a
+# slowdown that has just begun it is only known that it has lasted longer than
 # the gaps between events by which it was detected.
 MIN_SLOWDOWN_S = 0.1
-# When the runs of a replica have made no event for this many seconds, the
-# times at which they were expected to end are not used any more.
+# If the runs of a replica have produced no event for this many seconds, the
+# estimates of when they end are no longer used.
 SILENT_S = 0.3
 # A usual pace that was not confirmed for this long, in seconds, is dropped,
 # since the pace may have changed by now.
--- a/packages/decisions/anvilwell_decisions/batches/slots.py
+++ b/packages/decisions/anvilwell_decisions/batches/slots.py
@@ -17,7 +17,8 @@
 
 # Items that one core can run at once, at about 26 events a second each.
 ITEMS_PER_CORE = 1000
-# An entry runs on one thread, so more cores don't help.
+# Largest number of cores that count towards a VM's capacity. An entry runs on
+# one thread, so more cores don't help.
 MAX_CORES = 1.0
 # Number of items whose texts a VM's link can carry for each Mbit/s. Each text
 # is received from a replica, written to the store and sent to its trainer.
--- a/packages/decisions/anvilwell_decisions/batches/workers.py
+++ b/packages/decisions/anvilwell_decisions/batches/workers.py
@@ -22,7 +22,8 @@
         """Clear the memory demand and the expected ends of all runs."""
         total = tokens_by_service.get(self.replica.service, 0)
         self.memory = memory.EngineMemory(total)
-        # Heap of the times until this entry's runs should end, in seconds.
+        # Heap of the expected remaining times of this entry's runs, in
+        # seconds.
         self.run_ends_s = []
 
     @property
--- a/packages/gateway/anvilwell_gateway/batches/homes.py
+++ b/packages/gateway/anvilwell_gateway/batches/homes.py
@@ -45,8 +45,9 @@
         if len(homes) == 1:
             return homes[0]
         models = self._models(service)
-        # Models are assigned to homes in turn. If each model hashed to a home
-        # on its own, three models could share one of three homes.
+        # Models are assigned to homes in turn. If the home of each model were
+        # chosen by a hash of its name, three models could get the same one of
+        # three homes.
         number = models.index(model) if model in models else 0
         return homes[number % len(homes)]
 
--- a/packages/gateway/anvilwell_gateway/batches/owner_client.py
+++ b/packages/gateway/anvilwell_gateway/batches/owner_client.py
@@ -24,9 +24,9 @@
 
 TARGET = "/results"
 END_TARGET = "/batches/ended"
-# Time allowed for a response beyond the wait that was requested, in seconds.
-# After that the results are read from the store, which has all that the owner
-# has listed.
+# How much longer than the requested wait an owner's response may take, in
+# seconds. After that the results are read from the store, which has all that
+# the owner has listed.
 RESPONSE_MARGIN_S = 0.4
 MAX_RESPONSE_BYTES = 2 << 20
 
--- a/packages/gateway/anvilwell_gateway/batches/records.py
+++ b/packages/gateway/anvilwell_gateway/batches/records.py
@@ -20,7 +20,8 @@
 RESULTS_PREFIX = "anvilwell/results/"
 SAVED_PREFIX = "anvilwell/saved/"
 CARRIED_PREFIX = "anvilwell/carried/"
-# The store accepts values of up to 1 MB; the difference leaves space for the
+# Largest part of a batch's data that is written as one value, in bytes. The
+# store accepts values of up to 1 MB; the difference leaves space for the
 # encoding.
 MAX_VALUE_BYTES = 700 << 10
 # Largest number of parts of a submission. They are written together with the
