--- a/packages/gateway/anvilwell_gateway/duties/usage_accounting.py
+++ b/packages/gateway/anvilwell_gateway/duties/usage_accounting.py
@@ -4,7 +4,7 @@
 
 from anvilwell_gateway.duties import duty_election
 from anvilwell_gateway.duties import usage_notifier
-from anvilwell_gateway.duties import usage_reporter
+from anvilwell_gateway.duties import window_reporter
 
 DUTY = "usage"
 # Path at which the holder receives the counts of other entries.
@@ -79,7 +79,7 @@
         duty = duty_election.Duty(
             DUTY, store, presence, cluster_state, settings.turn_s
         )
-        reporter = usage_reporter.UsageReporter(
+        reporter = window_reporter.UsageReporter(
             store, presence, cluster_state, duty, platform, settings
         )
         notifier = usage_notifier.UsageNotifier(
--- a/packages/gateway/tests/duties/duty_simulation.py
+++ b/packages/gateway/tests/duties/duty_simulation.py
@@ -12,7 +12,7 @@
 from anvilwell_decisions.duties import usage
 from anvilwell_gateway import config
 from anvilwell_gateway.duties import duty_election
-from anvilwell_gateway.duties import usage_reporter
+from anvilwell_gateway.duties import window_reporter
 from anvilwell_gateway.http import client
 from anvilwell_gateway import live_keys
 from anvilwell_gateway import presence
@@ -267,7 +267,7 @@
         self.duty = duty_election.Duty(
             "usage", self.store, self.presence, self.cluster_state, TURN_S
         )
-        self.reporter = usage_reporter.UsageReporter(
+        self.reporter = window_reporter.UsageReporter(
             self.store,
             self.presence,
             self.cluster_state,
--- a/packages/gateway/tests/duties/test_duty.py
+++ b/packages/gateway/tests/duties/test_duty.py
@@ -10,7 +10,7 @@
 
 from anvilwell_decisions.duties import rendezvous
 from anvilwell_gateway.duties import duty_election
-from anvilwell_gateway.duties import usage_reporter
+from anvilwell_gateway.duties import window_reporter
 from anvilwell_kernel import exceptions
 from anvilwell_outside.ports import keyvalue
 import hypothesis
@@ -222,12 +222,12 @@
     """A later release may have written it; its reports must not change."""
 
     async def scenario(world):
-        unreadable = keyvalue.Entry(usage_reporter.LEDGER_KEY, b"?", 1)
-        world.store.entries_by_key[usage_reporter.LEDGER_KEY] = unreadable
+        unreadable = keyvalue.Entry(window_reporter.LEDGER_KEY, b"?", 1)
+        world.store.entries_by_key[window_reporter.LEDGER_KEY] = unreadable
         await asyncio.sleep(20.0)
-        entry = world.store.entries_by_key[usage_reporter.LEDGER_KEY]
+        entry = world.store.entries_by_key[window_reporter.LEDGER_KEY]
         assert entry == unreadable
-        del world.store.entries_by_key[usage_reporter.LEDGER_KEY]
+        del world.store.entries_by_key[window_reporter.LEDGER_KEY]
         await asyncio.sleep(8.0)
 
     assert simulate(scenario).calls
